--- a/packages/burdockchute-agent/burdockchute_agent/bandwidth.py
+++ b/packages/burdockchute-agent/burdockchute_agent/bandwidth.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from burdockchute.decisions import rates
+from burdockchute.decisions import copy_rates
 
 
 class Bandwidth:
@@ -11,29 +11,29 @@
     def __init__(self, uplink: float, downlink: float, now: float) -> None:
         self._uplink = uplink
         self._downlink = downlink
-        self._up = rates.Bucket(0.0, now)
-        self._down = rates.Bucket(0.0, now)
-        self._live = rates.Meter(0.0, now)
+        self._up = copy_rates.Bucket(0.0, now)
+        self._down = copy_rates.Bucket(0.0, now)
+        self._live = copy_rates.Meter(0.0, now)
 
     def note_live(self, count: int, now: float) -> None:
         """Count bytes of live requests, which go first."""
-        self._live = rates.measure(self._live, count, now)
+        self._live = copy_rates.measure(self._live, count, now)
 
     def refill(self, now: float, paced: bool = False) -> None:
         """Let the budgets grow up to the present time.
 
         Where slices are paced, the uplink's grows as they go out.
         """
-        self._live = rates.measure(self._live, 0.0, now)
+        self._live = copy_rates.measure(self._live, 0.0, now)
         if not paced:
-            self._up = rates.refill(self._up, self.send_rate, now)
-        self._down = rates.refill(self._down, self.receive_rate, now)
+            self._up = copy_rates.refill(self._up, self.send_rate, now)
+        self._down = copy_rates.refill(self._down, self.receive_rate, now)
 
     def may_receive(self, size: int) -> bool:
         """Take bytes of the downlink, or tell that none are left."""
         if self._down.level <= 0:
             return False
-        self._down = rates.take(self._down, size)
+        self._down = copy_rates.take(self._down, size)
         return True
 
     def not_received(self, size: int) -> None:
@@ -41,7 +41,7 @@
 
         Kept, they would leave the link idle for the time of a chunk each.
         """
-        self._down = rates.take(self._down, -size)
+        self._down = copy_rates.take(self._down, -size)
 
     @property
     def may_send(self) -> bool:
@@ -50,22 +50,22 @@
 
     def sent(self, size: int) -> None:
         """Take bytes of the uplink."""
-        self._up = rates.take(self._up, size)
+        self._up = copy_rates.take(self._up, size)
 
     @property
     def send_rate(self) -> float:
         """Bytes per second that copies may send now."""
-        return rates.cap(self._uplink, self._live.rate)
+        return copy_rates.cap(self._uplink, self._live.rate)
 
     @property
     def receive_rate(self) -> float:
         """Bytes per second that copies may receive now."""
-        return rates.cap(self._downlink, self._live.rate)
+        return copy_rates.cap(self._downlink, self._live.rate)
 
     def pace(self, size: int, now: float) -> float:
         """Take bytes of the uplink, or give how long until they are there."""
-        self._up = rates.refill(
-            self._up, self.send_rate, now, rates.PACED_BURST_S
+        self._up = copy_rates.refill(
+            self._up, self.send_rate, now, copy_rates.PACED_BURST_S
         )
         if self._up.level <= 0:
             return self.send_wait_s()
@@ -74,4 +74,4 @@
 
     def send_wait_s(self) -> float:
         """Give how long until something may be sent."""
-        return rates.wait_s(self._up, self.send_rate)
+        return copy_rates.wait_s(self._up, self.send_rate)
--- a/packages/burdockchute-agent/burdockchute_agent/staged/outlook.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/outlook.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from burdockchute.decisions import rates
+from burdockchute.decisions import copy_rates
 from burdockchute.decisions import staging
 from burdockchute.decisions import versions
 from burdockchute.decisions.versions import History
@@ -94,7 +94,7 @@
         if not count:
             return None
         share = held / count
-        rate = rates.CAP_SHARE * self.link_bytes_per_s
+        rate = copy_rates.CAP_SHARE * self.link_bytes_per_s
         rest_s = (1 - share) * self.copying.size_of(name) / rate
         return staging.opens_in_s(
             share, rollout.copying_s(version, now), rest_s
--- a/packages/burdockchute-entry/burdockchute_entry/attempts.py
+++ b/packages/burdockchute-entry/burdockchute_entry/attempts.py
@@ -7,8 +7,8 @@
 
 from burdockchute.decisions import admission
 from burdockchute.decisions import placement
+from burdockchute.decisions.fair_queue import Waiting
 from burdockchute.decisions.placement import Work
-from burdockchute.decisions.waiting import Waiting
 from burdockchute.model.requests import RequestContext
 from burdockchute.nodes import links
 from burdockchute.wire import messages
--- a/packages/burdockchute-entry/burdockchute_entry/dispatcher.py
+++ b/packages/burdockchute-entry/burdockchute_entry/dispatcher.py
@@ -8,8 +8,8 @@
 from burdockchute.decisions import admission
 from burdockchute.decisions import hosting
 from burdockchute.decisions import retries
+from burdockchute.decisions.fair_queue import Waiting
 from burdockchute.decisions.placement import InstanceLoad
-from burdockchute.decisions.waiting import Waiting
 from burdockchute.model import table as tables
 from burdockchute.model.outcomes import NotRun
 from burdockchute.model.rows import ServiceRow
--- a/packages/burdockchute-entry/burdockchute_entry/pools.py
+++ b/packages/burdockchute-entry/burdockchute_entry/pools.py
@@ -13,10 +13,10 @@
 from typing import TypeVar
 
 from burdockchute.decisions import placement
+from burdockchute.decisions.fair_queue import WaitingQueue
 from burdockchute.decisions.placement import InstanceLoad
 from burdockchute.decisions.placement import SMOOTHING
 from burdockchute.decisions.placement import Work
-from burdockchute.decisions.waiting import WaitingQueue
 from burdockchute.model import table as tables
 from burdockchute.model.requests import RequestContext
 from burdockchute.model.rows import ModelRow
--- a/packages/burdockchute-entry/burdockchute_entry/straight/callers.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/callers.py
@@ -19,7 +19,7 @@
 from burdockchute.callers.server import SOCKET_KEY
 from burdockchute.callers.server import status_line
 from burdockchute.callers.server import TARGET_KEY
-from burdockchute.decisions import returns
+from burdockchute.decisions import returning_callers
 from burdockchute.decisions import routing
 from burdockchute.decisions.routing import RouteTable
 from burdockchute.model import outcomes
@@ -187,7 +187,7 @@
             self._longest_s.get(route.name, 0.0), asked.time_left_s
         )
         self._longest_s[route.name] = longest_s
-        return returns.spent_s(longest_s, asked.time_left_s)
+        return returning_callers.spent_s(longest_s, asked.time_left_s)
 
     def exchange(self, admitted: Admitted) -> Exchange:
         """Begin the exchange of an admitted request."""
--- a/packages/burdockchute-entry/burdockchute_entry/straight/handover.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/handover.py
@@ -12,7 +12,7 @@
 
 import gevent
 
-from burdockchute.decisions import patience
+from burdockchute.decisions import wait_limits
 from burdockchute.model.exchanges import AnswerHead
 from burdockchute.upstreams.connections import Broken
 from burdockchute.upstreams.events import Event
@@ -150,7 +150,7 @@
             found = self._begin(place)
             if isinstance(found, Rest):
                 return found
-            if not self._sender.may_go_on(found, patience.RETRY_WAIT_S):
+            if not self._sender.may_go_on(found, wait_limits.RETRY_WAIT_S):
                 return NoRest(found.reason)
 
     def _begin(self, place: Place) -> Rest | Elsewhere | Lost:
--- a/packages/burdockchute-entry/burdockchute_entry/straight/known_targets.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/known_targets.py
@@ -7,10 +7,10 @@
 import random
 
 from burdockchute import logs
-from burdockchute.decisions import engine_room
-from burdockchute.decisions import patience
+from burdockchute.decisions import engine_placement
 from burdockchute.decisions import placement
 from burdockchute.decisions import versions
+from burdockchute.decisions import wait_limits
 from burdockchute.decisions.placement import InstanceLoad
 from burdockchute.model.beliefs import Beliefs
 from burdockchute.model.machines import Bounds
@@ -185,7 +185,7 @@
             if not wish.model or wish.model in target.versions
         ]
 
-    def opening(self, placing: Placing, now: float) -> patience.Opening:
+    def opening(self, placing: Placing, now: float) -> wait_limits.Opening:
         """Give what opens for a request, for this entry.
 
         Engines load, or copy what they are to load, and their agents tell
@@ -194,7 +194,7 @@
         """
         wish = placing.wish
         if not wish.model or wish.exact is not None:
-            return patience.NOTHING_OPENS
+            return wait_limits.NOTHING_OPENS
         opening = [
             (opens_at, target.load.slots)
             for target in self._targets.values()
@@ -203,11 +203,13 @@
             and (opens_at := _opens_at(target, now)) is not None
         ]
         if not opening:
-            return patience.NOTHING_OPENS
+            return wait_limits.NOTHING_OPENS
         latest = placing.ctx.deadline - self.answer_s(placing)
         slots = sum(slots for opens_at, slots in opening if opens_at <= latest)
         first_at = min(opens_at for opens_at, _slots in opening)
-        return patience.Opening(max(0.0, first_at - now), slots / self.entries)
+        return wait_limits.Opening(
+            max(0.0, first_at - now), slots / self.entries
+        )
 
     def answer_s(self, placing: Placing) -> float:
         """Estimate how long an answer takes on an engine that just opened.
@@ -223,10 +225,10 @@
             for target in self._targets.values()
             if target.upstream.service == service
         )
-        full = engine_room.EngineView('', 0, 0, slots, 1, 0, unseen=slots)
-        return engine_room.lasts_s(full, wanted_of(placing), cost)
+        full = engine_placement.EngineView('', 0, 0, slots, 1, 0, unseen=slots)
+        return engine_placement.lasts_s(full, wanted_of(placing), cost)
 
-    def view(self, target: Target, now: float) -> engine_room.EngineView:
+    def view(self, target: Target, now: float) -> engine_placement.EngineView:
         """Give what is known of a target as an engine."""
         if now >= target.share_until:
             self._draw_share(target, now)
@@ -238,7 +240,7 @@
         cost = self.cost(target.upstream.service)
         most = float('inf')
         if cost is not None and self.entries > 1:
-            most = engine_room.prompts_read(cost, targets.SHARE_S)
+            most = engine_placement.prompts_read(cost, targets.SHARE_S)
         target.draw_share(self.entries, most, self._rng.random(), now)
 
     # One round of giving out places.
@@ -280,10 +282,12 @@
         views = [view for _target, view in found.values()]
         wanted = wanted_of(placing)
         begun = placing.resuming
-        drawn = engine_room.draw(views, self._rng)
-        view = engine_room.choose(drawn, wanted, cost, left_s, reserve, begun)
+        drawn = engine_placement.draw(views, self._rng)
+        view = engine_placement.choose(
+            drawn, wanted, cost, left_s, reserve, begun
+        )
         if view is None and len(drawn) < len(views):
-            view = engine_room.choose(
+            view = engine_placement.choose(
                 views, wanted, cost, left_s, reserve, begun
             )
         return found[view.name][0] if view else None
@@ -332,9 +336,9 @@
         return versions.least_allowed(history, self.bounds.version_s, now)
 
 
-def wanted_of(placing: Placing) -> engine_room.Wanted:
+def wanted_of(placing: Placing) -> engine_placement.Wanted:
     """Give what placement needs of a request."""
-    return engine_room.Wanted(
+    return engine_placement.Wanted(
         placing.ctx.prompt_tokens, placing.ctx.max_tokens
     )
 
--- a/packages/burdockchute-entry/burdockchute_entry/straight/lanes.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/lanes.py
@@ -7,10 +7,10 @@
 
 from gevent import event as events
 
-from burdockchute.decisions import patience
+from burdockchute.decisions import wait_limits
+from burdockchute.decisions.fair_queue import WaitingQueue
 from burdockchute.decisions.overload import Overload
 from burdockchute.decisions.placement import Work
-from burdockchute.decisions.waiting import WaitingQueue
 from burdockchute.model.requests import RequestContext
 from burdockchute_entry.pools import Pool
 from burdockchute_entry.straight.targets import Target
@@ -67,7 +67,7 @@
     def late_served_lately(self, now: float) -> int:
         """Give how many of the late got a place lately."""
         while self._late_served:
-            if now - self._late_served[0] <= patience.LATELY_S:
+            if now - self._late_served[0] <= wait_limits.LATELY_S:
                 break
             self._late_served.popleft()
         return len(self._late_served)
@@ -106,4 +106,4 @@
     def was_rejected(self, target: Target, now: float) -> bool:
         """Tell whether it was rejected there a moment ago."""
         rejected_at = self.rejected.get(target.id, float('-inf'))
-        return now - rejected_at < patience.REJECTED_S
+        return now - rejected_at < wait_limits.REJECTED_S
--- a/packages/burdockchute-entry/burdockchute_entry/straight/placer.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/placer.py
@@ -17,12 +17,12 @@
 from gevent import Timeout
 
 from burdockchute.decisions import admission
-from burdockchute.decisions import engine_room
+from burdockchute.decisions import engine_placement
 from burdockchute.decisions import overload
-from burdockchute.decisions import patience
-from burdockchute.decisions import returns
-from burdockchute.decisions.waiting import Waiting
-from burdockchute.decisions.waiting import WaitingQueue
+from burdockchute.decisions import returning_callers
+from burdockchute.decisions import wait_limits
+from burdockchute.decisions.fair_queue import Waiting
+from burdockchute.decisions.fair_queue import WaitingQueue
 from burdockchute.model.beliefs import Beliefs
 from burdockchute.model.link_news import LinkEvent
 from burdockchute.model.machines import Bounds
@@ -147,7 +147,7 @@
         wish = placing.wish
         if placing.resuming:
             if not self.may_host(placing):
-                return self._nobody(placing, patience.NOTHING_OPENS, now)
+                return self._nobody(placing, wait_limits.NOTHING_OPENS, now)
             return Plan((Stage(lane.resumed, deadline - now),), 0.0)
         opening = self._known.opening(placing, now)
         late_s = self._late_wait_s(placing, opening, now)
@@ -155,7 +155,7 @@
             if not opening.places or not late_s:
                 return self._nobody(placing, opening, now)
             return Plan((Stage(lane.late, late_s),), late_s)
-        fresh_s = patience.fresh_wait_s(
+        fresh_s = wait_limits.fresh_wait_s(
             wish.objective_s, wish.elapsed_s, deadline - now
         )
         expected_s = lane.expected_wait_s(
@@ -219,8 +219,8 @@
         if cost is None or not hosts:
             return None
         views = [self._known.view(target, now) for target in hosts.values()]
-        staying = [v for v in views if engine_room.stays_open(v, rest_s)]
-        view = engine_room.choose(
+        staying = [v for v in views if engine_placement.stays_open(v, rest_s)]
+        view = engine_placement.choose(
             staying, wanted_of(placing), cost, within_s, begun=True
         )
         return self._taken(placing, hosts[view.name], now) if view else None
@@ -287,14 +287,16 @@
     # What opens.
 
     def _late_wait_s(
-        self, placing: Placing, opening: patience.Opening, now: float
+        self, placing: Placing, opening: wait_limits.Opening, now: float
     ) -> float:
         left_s = placing.ctx.deadline - now
-        late_s = patience.late_wait_s(placing.wish.objective_s, left_s)
+        late_s = wait_limits.late_wait_s(placing.wish.objective_s, left_s)
         if opening.in_s is None:
             return late_s
         answer_s = self._known.answer_s(placing)
-        return max(late_s, patience.opening_wait_s(opening, answer_s, left_s))
+        return max(
+            late_s, wait_limits.opening_wait_s(opening, answer_s, left_s)
+        )
 
     def _retry_s(self, placing: Placing, late_s: float, now: float) -> float:
         # The overload as it is on arrival; the wait until the refusal is
@@ -305,13 +307,13 @@
             return late_s
         left_s = placing.ctx.deadline - now
         return overload.retry_in_s(
-            max(late_s, returns.least_s(left_s)),
+            max(late_s, returning_callers.least_s(left_s)),
             lasted_s,
             left_s - self._known.answer_s(placing) - late_s,
         )
 
     def _nobody(
-        self, placing: Placing, opening: patience.Opening, now: float
+        self, placing: Placing, opening: wait_limits.Opening, now: float
     ) -> NotRun:
         why = self._known.why_nobody(placing, now)
         opens = 'nothing opens'
@@ -357,12 +359,12 @@
             if placing.place.ready() or self.may_host(placing):
                 continue
             placing.place.set(
-                self._nobody(placing, patience.NOTHING_OPENS, now)
+                self._nobody(placing, wait_limits.NOTHING_OPENS, now)
             )
 
     def _may_wait_late(self, lane: Lane, placing: Placing) -> bool:
         now = self._now()
-        return patience.may_wait_late(
+        return wait_limits.may_wait_late(
             len(lane.late),
             lane.late_served_lately(now),
             self._known.opening(placing, now).places,
@@ -453,7 +455,7 @@
     def _left_s(self, placing: Placing, now: float) -> float | None:
         # None for a request that can't be on time.
         if placing.resuming:
-            return patience.RESUME_BEGIN_S
+            return wait_limits.RESUME_BEGIN_S
         if placing.is_late:
             return None
         spent_s = placing.wish.elapsed_s + now - placing.ctx.arrived
--- a/packages/burdockchute-entry/burdockchute_entry/straight/streams.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/streams.py
@@ -13,8 +13,8 @@
 import logging
 
 from burdockchute import logs
-from burdockchute.decisions import moving
-from burdockchute.decisions import patience
+from burdockchute.decisions import stream_moves
+from burdockchute.decisions import wait_limits
 from burdockchute.model.exchanges import AnswerHead
 from burdockchute.upstreams.connections import Broken
 from burdockchute.upstreams.connections import LOOK_S
@@ -199,7 +199,7 @@
     def _seek_again(self, lost: Lost) -> None:
         """Ask others for the rest of a lost run; raises StreamBroken."""
         self._pin()
-        wait_s = patience.RETRY_WAIT_S
+        wait_s = wait_limits.RETRY_WAIT_S
         if not self._may_resume or not self._sender.may_go_on(lost, wait_s):
             raise StreamBroken(lost.reason)
         self._hand_over(None)
@@ -233,12 +233,12 @@
         rest_s = self._rest_s(now)
         if sender.runs >= sender.route.max_attempts:
             return
-        if not moving.should_move(closed_s, rest_s, gap_s, sender.runs):
+        if not stream_moves.should_move(closed_s, rest_s, gap_s, sender.runs):
             return
         self._pin()
         sender.placing.avoided.add(target.id)
         place = self._tools.placer.place_now(
-            sender.placing, moving.GAP_SHARE * gap_s, rest_s
+            sender.placing, stream_moves.GAP_SHARE * gap_s, rest_s
         )
         if place is None:
             return
@@ -252,7 +252,7 @@
     def _rest_s(self, now: float) -> float:
         made = self.count * self._tokens_an_event
         likely = max(1, self._sender.ctx.max_tokens)
-        return moving.rest_s(now - self.began_at, made / likely)
+        return stream_moves.rest_s(now - self.began_at, made / likely)
 
     def _pin(self) -> None:
         placing = self._sender.placing
--- a/packages/burdockchute-entry/burdockchute_entry/straight/survey.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/survey.py
@@ -16,8 +16,8 @@
 from collections.abc import Callable
 from collections.abc import Iterable
 
-from burdockchute.decisions import engine_room
-from burdockchute.decisions.engine_room import EngineView
+from burdockchute.decisions import engine_placement
+from burdockchute.decisions.engine_placement import EngineView
 from burdockchute_entry.straight.lanes import Placing
 from burdockchute_entry.straight.targets import Target
 
@@ -52,8 +52,8 @@
         `is_shared` is for a request that is bound to this entry's share.
         """
         return any(
-            (not is_shared or engine_room.has_share(view))
-            and (not is_late or engine_room.has_free_slot(view, reserve))
+            (not is_shared or engine_placement.has_share(view))
+            and (not is_late or engine_placement.has_free_slot(view, reserve))
             for _target, view in self._open.values()
         )
 
--- a/packages/burdockchute-entry/burdockchute_entry/straight/targets.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/targets.py
@@ -6,9 +6,9 @@
 from typing import NamedTuple
 
 from burdockchute import logs
-from burdockchute.decisions import engine_room
+from burdockchute.decisions import engine_placement
 from burdockchute.decisions import health
-from burdockchute.decisions.engine_room import EngineView
+from burdockchute.decisions.engine_placement import EngineView
 from burdockchute.decisions.placement import InstanceLoad
 from burdockchute.model.upstreams import Upstream
 from burdockchute.upstreams import connections
@@ -95,7 +95,9 @@
         `chance` is drawn from 0 to 1; all entries together may use `most`.
         """
         free = self.load.slots - self.load.in_flight(now)
-        self.share = engine_room.share_of(min(free, most), entries, chance)
+        self.share = engine_placement.share_of(
+            min(free, most), entries, chance
+        )
         self.share_until = now + SHARE_S
 
     def view(self, is_far: bool, now: float) -> EngineView:
--- a/packages/burdockchute-entry/tests/test_survey.py
+++ b/packages/burdockchute-entry/tests/test_survey.py
@@ -8,7 +8,7 @@
 
 import gevent
 
-from burdockchute.decisions.engine_room import EngineView
+from burdockchute.decisions.engine_placement import EngineView
 from burdockchute.decisions.listing import Known
 from burdockchute.decisions.listing import UpstreamList
 from burdockchute.decisions.overload import Overload
--- a/packages/burdockchute-testing/burdockchute_testing/emulator/engines.py
+++ b/packages/burdockchute-testing/burdockchute_testing/emulator/engines.py
@@ -10,7 +10,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from burdockchute.decisions import engine_room
+from burdockchute.decisions import engine_placement
 from burdockchute.model.routes import EngineCost
 from burdockchute_testing.emulator.clock import Clock
 
@@ -96,13 +96,15 @@
             self._is_working = False
             return
         cost = self._cost
-        room = engine_room.PASS_TOKENS
+        room = engine_placement.PASS_TOKENS
         for job in self._running:
             read = min(job.prompt_left, room)
             job.prompt_left -= read
             room -= read
         step_s = cost.step_s + cost.request_step_s * len(self._running)
-        read_s = (engine_room.PASS_TOKENS - room) / cost.prompt_tokens_per_s
+        read_s = (
+            engine_placement.PASS_TOKENS - room
+        ) / cost.prompt_tokens_per_s
         pass_s = cost.steps_a_pass * step_s + read_s
         self.busy_s += pass_s
         self._clock.after(pass_s, self._end_pass)
--- a/packages/burdockchute-testing/burdockchute_testing/emulator/network.py
+++ b/packages/burdockchute-testing/burdockchute_testing/emulator/network.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from burdockchute.decisions import rates
+from burdockchute.decisions import copy_rates
 
 MBIT_BYTES = 125_000
 
@@ -99,4 +99,4 @@
             return fleet.origin_mbit * MBIT_BYTES
         if '>' in link:
             return fleet.region_mbit * MBIT_BYTES
-        return rates.CAP_SHARE * fleet.side_mbit * MBIT_BYTES
+        return copy_rates.CAP_SHARE * fleet.side_mbit * MBIT_BYTES
--- a/packages/burdockchute-testing/burdockchute_testing/emulator/site.py
+++ b/packages/burdockchute-testing/burdockchute_testing/emulator/site.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from burdockchute.decisions import admission
-from burdockchute.decisions import returns
+from burdockchute.decisions import returning_callers
 from burdockchute.decisions.listing import Known
 from burdockchute.decisions.listing import UpstreamList
 from burdockchute.decisions.placement import Work
@@ -209,7 +209,7 @@
             max_tokens=int(call.shape.answer_tokens),
         )
         work = Work(admission.cost_of(ctx), False, ctx.prompt_tokens, ())
-        spent_s = returns.spent_s(DEADLINE_S, deadline - now)
+        spent_s = returning_callers.spent_s(DEADLINE_S, deadline - now)
         wish = Wish(SERVICE, MODEL, call.shape.objective_s, spent_s)
         placing = Placing(ctx, work, wish)
         plan = self.placer.plan(placing, deadline)
--- a/packages/burdockchute-testing/burdockchute_testing/emulator/swarm.py
+++ b/packages/burdockchute-testing/burdockchute_testing/emulator/swarm.py
@@ -13,9 +13,9 @@
 import hashlib
 import random
 
+from burdockchute.decisions import copy_rates
 from burdockchute.decisions import neighbours
 from burdockchute.decisions import pacing
-from burdockchute.decisions import rates
 from burdockchute.decisions import staging
 from burdockchute.decisions import versions
 from burdockchute.model.members import Member
@@ -115,7 +115,7 @@
         """Give what a whole copy takes over the own link at the least."""
         fleet = self._swarm.fleet
         size = fleet.chunks * fleet.chunk_bytes
-        return size / (rates.CAP_SHARE * fleet.side_mbit * MBIT_BYTES)
+        return size / (copy_rates.CAP_SHARE * fleet.side_mbit * MBIT_BYTES)
 
     def whole_copy(self, digest: str) -> Copy | None:
         """Give a copy if it is whole."""
--- a/packages/burdockchute/tests/decisions/test_engine_room.py
+++ b/packages/burdockchute/tests/decisions/test_engine_placement.py
@@ -5,9 +5,9 @@
 import random
 import unittest
 
-from burdockchute.decisions import engine_room
-from burdockchute.decisions.engine_room import EngineView
-from burdockchute.decisions.engine_room import Wanted
+from burdockchute.decisions import engine_placement
+from burdockchute.decisions.engine_placement import EngineView
+from burdockchute.decisions.engine_placement import Wanted
 from burdockchute.model.routes import EngineCost
 
 # Figures of an engine as its operators would declare them.
@@ -22,7 +22,9 @@
 
 
 def choose(views, left_s=0.4, prompt=PROMPT, answer=95):
-    found = engine_room.choose(views, Wanted(prompt, answer), COST, left_s)
+    found = engine_placement.choose(
+        views, Wanted(prompt, answer), COST, left_s
+    )
     return found.name if found else None
 
 
@@ -52,19 +54,22 @@
         """
         rng = random.Random(1)
         taken = [
-            sum(engine_room.share_of(5, 36, rng.random()) for _e in range(36))
+            sum(
+                engine_placement.share_of(5, 36, rng.random())
+                for _e in range(36)
+            )
             for _report in range(300)
         ]
         self.assertAlmostEqual(5.0, sum(taken) / len(taken), delta=0.5)
-        self.assertEqual(5, engine_room.share_of(5, 1, 0.99))
-        self.assertEqual(0, engine_room.share_of(-2, 4, 0.99))
+        self.assertEqual(5, engine_placement.share_of(5, 1, 0.99))
+        self.assertEqual(0, engine_placement.share_of(-2, 4, 0.99))
 
     def test_the_rest_of_a_stream_is_bound_to_no_share(self):
         """Its caller has a part of the answer; new ones draw their share."""
         views = [view('a', share=0)]
         wanted = Wanted(PROMPT, 95)
-        self.assertIsNone(engine_room.choose(views, wanted, COST, 0.4))
-        found = engine_room.choose(views, wanted, COST, 1.2, begun=True)
+        self.assertIsNone(engine_placement.choose(views, wanted, COST, 0.4))
+        found = engine_placement.choose(views, wanted, COST, 1.2, begun=True)
         self.assertIsNotNone(found)
 
     def test_few_engines_are_compared_most_of_the_own_region(self):
@@ -72,20 +77,28 @@
         rng = random.Random(1)
         views = [view(f'near-{n}') for n in range(9)]
         views += [view(f'far-{n}', is_far=True) for n in range(30)]
-        drawn = engine_room.draw(views, rng)
+        drawn = engine_placement.draw(views, rng)
         self.assertEqual(
-            engine_room.NEAR_DRAWN, sum(not v.is_far for v in drawn)
+            engine_placement.NEAR_DRAWN, sum(not v.is_far for v in drawn)
         )
-        self.assertEqual(engine_room.FAR_DRAWN, sum(v.is_far for v in drawn))
-        self.assertEqual(views[:1], engine_room.draw(views[:1], rng))
+        self.assertEqual(
+            engine_placement.FAR_DRAWN, sum(v.is_far for v in drawn)
+        )
+        self.assertEqual(views[:1], engine_placement.draw(views[:1], rng))
 
     def test_late_work_leaves_a_reserve(self):
         """New callers miss their objective while late ones fill engines."""
         views = [view('a', others=9)]
         wanted = Wanted(PROMPT, 95)
-        self.assertIsNotNone(engine_room.choose(views, wanted, COST, None))
-        self.assertIsNone(engine_room.choose(views, wanted, COST, None, 0.5))
-        self.assertIsNotNone(engine_room.choose(views, wanted, COST, 0.4, 0.5))
+        self.assertIsNotNone(
+            engine_placement.choose(views, wanted, COST, None)
+        )
+        self.assertIsNone(
+            engine_placement.choose(views, wanted, COST, None, 0.5)
+        )
+        self.assertIsNotNone(
+            engine_placement.choose(views, wanted, COST, 0.4, 0.5)
+        )
 
     def test_least_expected_time_wins(self):
         self.assertEqual(
@@ -130,10 +143,10 @@
         self.assertEqual('closing', choose([closing], answer=200))
 
     def test_a_stream_is_not_moved_to_an_engine_that_closes_next(self):
-        self.assertTrue(engine_room.stays_open(view('a'), 2.0))
+        self.assertTrue(engine_placement.stays_open(view('a'), 2.0))
         closing = view('a', closes_in_s=1.0)
-        self.assertFalse(engine_room.stays_open(closing, 2.0))
-        self.assertTrue(engine_room.stays_open(closing, 0.5))
+        self.assertFalse(engine_placement.stays_open(closing, 2.0))
+        self.assertTrue(engine_placement.stays_open(closing, 0.5))
 
     def test_an_engine_nearby_is_taken_among_equals(self):
         far = view('far', others=3, is_far=True)
--- a/packages/burdockchute/tests/decisions/test_waiting.py
+++ b/packages/burdockchute/tests/decisions/test_fair_queue.py
@@ -8,8 +8,8 @@
 from hypothesis import stateful
 from hypothesis import strategies as st
 
-from burdockchute.decisions.waiting import AGE_S
-from burdockchute.decisions.waiting import WaitingQueue
+from burdockchute.decisions.fair_queue import AGE_S
+from burdockchute.decisions.fair_queue import WaitingQueue
 from burdockchute_testing.builders import requests
 
 LIMIT = 6
--- a/packages/burdockchute/tests/decisions/test_spreading.py
+++ b/packages/burdockchute/tests/decisions/test_spreading.py
@@ -7,9 +7,9 @@
 import unittest
 
 from burdockchute.decisions import chunks
+from burdockchute.decisions import copy_rates
 from burdockchute.decisions import neighbours
 from burdockchute.decisions import pacing
-from burdockchute.decisions import rates
 from burdockchute.decisions import sources
 from burdockchute.decisions.chunks import Choice
 from burdockchute.decisions.chunks import Offer
@@ -243,28 +243,32 @@
 
 class RatesTest(unittest.TestCase):
     def test_rate_is_kept_over_time(self):
-        bucket = rates.Bucket(0.0, 0.0)
+        bucket = copy_rates.Bucket(0.0, 0.0)
         sent = 0
         now = 0.0
         while now < 10.0:
-            bucket = rates.refill(bucket, 1000.0, now)
+            bucket = copy_rates.refill(bucket, 1000.0, now)
             if bucket.level > 0:
-                bucket = rates.take(bucket, 64)
+                bucket = copy_rates.take(bucket, 64)
                 sent += 64
-            now += max(0.001, rates.wait_s(bucket, 1000.0))
+            now += max(0.001, copy_rates.wait_s(bucket, 1000.0))
         self.assertAlmostEqual(10_000, sent, delta=200)
 
     def test_idle_time_gives_no_burst_beyond_the_bucket(self):
-        bucket = rates.refill(rates.Bucket(0.0, 0.0), 1000.0, 3600.0)
-        self.assertEqual(1000.0 * rates.BURST_S, bucket.level)
+        bucket = copy_rates.refill(copy_rates.Bucket(0.0, 0.0), 1000.0, 3600.0)
+        self.assertEqual(1000.0 * copy_rates.BURST_S, bucket.level)
 
     def test_copies_yield_to_live_requests(self):
         # Answers to callers take half of the link. A copy that kept its
         # rate would make each token wait behind chunks.
-        meter = rates.Meter(0.0, 0.0)
+        meter = copy_rates.Meter(0.0, 0.0)
         for step in range(100):
-            meter = rates.measure(meter, 50.0, step * 0.1)
+            meter = copy_rates.measure(meter, 50.0, step * 0.1)
         self.assertAlmostEqual(500.0, meter.rate, delta=60.0)
-        self.assertAlmostEqual(400.0, rates.cap(1000.0, meter.rate), delta=60)
-        later = rates.measure(meter, 0.0, 20.0)
-        self.assertAlmostEqual(900.0, rates.cap(1000.0, later.rate), delta=1)
+        self.assertAlmostEqual(
+            400.0, copy_rates.cap(1000.0, meter.rate), delta=60
+        )
+        later = copy_rates.measure(meter, 0.0, 20.0)
+        self.assertAlmostEqual(
+            900.0, copy_rates.cap(1000.0, later.rate), delta=1
+        )
