--- a/packages/burdockchute-agent/burdockchute_agent/copying.py
+++ b/packages/burdockchute-agent/burdockchute_agent/copying.py
@@ -30,12 +30,12 @@
 from burdockchute_agent.copier import PACED_READS_AT_ONCE
 from burdockchute_agent.events import ManifestRead
 from burdockchute_agent.events import OriginRead
+from burdockchute_agent.hosting_plan import Target
 from burdockchute_agent.news import News
 from burdockchute_agent.origin_reads import OriginClient
 from burdockchute_agent.origin_reads import OriginReads
 from burdockchute_agent.policy import Policy
 from burdockchute_agent.serving import Serving
-from burdockchute_agent.wanted import Target
 from burdockchute_agent.weights_metrics import WeightsMetrics
 
 IDLE_S = 0.05
--- a/packages/burdockchute-agent/burdockchute_agent/wanted.py
+++ b/packages/burdockchute-agent/burdockchute_agent/hosting_plan.py
@@ -31,7 +31,7 @@
     origin_copies: float
 
 
-class Wanted(NamedTuple):
+class HostingPlan(NamedTuple):
     """Everything that follows from the present table and members.
 
     `targets` is by kind and name of the row, `hosts` by digest and names
@@ -45,9 +45,9 @@
     before: Mapping[RowId, str | None]
 
 
-def wanted(
+def plan_hosting(
     table: Table, members: Sequence[Member], own: Member, policy: Policy
-) -> Wanted:
+) -> HostingPlan:
     """Work out what an instance should hold and with whom it exchanges."""
     targets = _targets(table, members, own)
     hosts = _hosts_by_model(table, members, own)
@@ -55,7 +55,7 @@
         row: _before(target, own, hosts[target.base or target.name])
         for row, target in targets.items()
     }
-    return Wanted(
+    return HostingPlan(
         targets,
         {
             target.digest: tuple(hosts[target.base or target.name])
--- a/packages/burdockchute-agent/burdockchute_agent/row_switch.py
+++ b/packages/burdockchute-agent/burdockchute_agent/row_switch.py
@@ -8,7 +8,7 @@
 from burdockchute.upstreams.orders import EngineError
 from burdockchute.upstreams.orders import Order
 from burdockchute.upstreams.orders import OrderRefused
-from burdockchute_agent.wanted import Target
+from burdockchute_agent.hosting_plan import Target
 
 # A load that failed is tried again, but not so fast that a broken engine or
 # a broken copy keeps its instance busy.
--- a/packages/burdockchute-agent/burdockchute_agent/staged/staged_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/staged_task.py
@@ -38,6 +38,7 @@
 from burdockchute_agent.bandwidth import Bandwidth
 from burdockchute_agent.copying import Copying
 from burdockchute_agent.copying import Source
+from burdockchute_agent.hosting_plan import Target
 from burdockchute_agent.origin_reads import OriginClient
 from burdockchute_agent.policy import DEFAULT
 from burdockchute_agent.staged import loading
@@ -51,7 +52,6 @@
 from burdockchute_agent.staged.rollout import Ahead
 from burdockchute_agent.staged.rollout import Loaded
 from burdockchute_agent.staged.rollout import Rollout
-from burdockchute_agent.wanted import Target
 
 # How often the engine is looked at; it is on the same machine and what it
 # tells is fresh, so this is the age of what entries learn of its load.
--- a/packages/burdockchute-agent/burdockchute_agent/weights_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/weights_task.py
@@ -50,11 +50,11 @@
 from burdockchute_agent.events import EngineSeen
 from burdockchute_agent.events import OrderEnded
 from burdockchute_agent.events import Registered
+from burdockchute_agent.hosting_plan import plan_hosting
+from burdockchute_agent.hosting_plan import Target
 from burdockchute_agent.policy import DEFAULT
 from burdockchute_agent.policy import Policy
 from burdockchute_agent.row_switch import RowSwitch
-from burdockchute_agent.wanted import Target
-from burdockchute_agent.wanted import wanted as wanted_by
 from burdockchute_agent.weights_states import states_of
 from burdockchute_agent.weights_states import weights_of
 
@@ -203,14 +203,16 @@
         if not self._is_engine:
             self.gate.set_services(frozenset(self.services()))
             return
-        wanted = wanted_by(self._table, self._members, self._own, self._policy)
-        for row in wanted.targets:
+        plan = plan_hosting(
+            self._table, self._members, self._own, self._policy
+        )
+        for row in plan.targets:
             self._switch(row)
         for row, switch in self._switches.items():
-            switch.want(wanted.targets.get(row), wanted.before.get(row))
-        self._peers.want(wanted.peers)
+            switch.want(plan.targets.get(row), plan.before.get(row))
+        self._peers.want(plan.peers)
         self._copying.want(
-            list(wanted.targets.values()), wanted.hosts, time.monotonic()
+            list(plan.targets.values()), plan.hosts, time.monotonic()
         )
 
     def _switch(self, key: tuple[str, str]) -> RowSwitch:
