--- a/packages/burdockchute-agent/burdockchute_agent/staged/app.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/app.py
@@ -27,9 +27,9 @@
 from burdockchute.nodes.wishes_news import needs_heard
 from burdockchute.site_settings import SiteSettings
 from burdockchute.wire import messages
-from burdockchute_agent.staged.informants import Informants
 from burdockchute_agent.staged.reports_task import ReportsTask
 from burdockchute_agent.staged.staged_task import StagedTask
+from burdockchute_agent.staged.state_sources import DesiredStateSources
 
 # An agent reads the list only to know its peers, and asks for weights for
 # seconds; reading it more often would cost calls and gain nothing. A read that
@@ -59,7 +59,7 @@
         self._alone_cadence = Cadence(
             longest_wait_s(machine.bounds.contact_s), ALONE_PERIOD_S
         )
-        self._informants = Informants(time.monotonic())
+        self._desired_state_sources = DesiredStateSources(time.monotonic())
         self.follower = Follower(
             adapter.open_feeds(machine.store),
             self._changed,
@@ -150,7 +150,9 @@
                 self.reports.opened(event.link)
             elif isinstance(event, links.Closed):
                 self.reports.closed(event.link)
-                self._informants.closed(event.link, time.monotonic())
+                self._desired_state_sources.closed(
+                    event.link, time.monotonic()
+                )
             elif isinstance(event.message, messages.LinkProbe):
                 self.reports.give_back(event.link, event.message)
             elif isinstance(
@@ -158,19 +160,25 @@
             ):
                 self.reports.hand_on(event.link, event.message)
             elif isinstance(event.message, messages.WishesNews):
-                self._hear(event.link, event.message, time.monotonic())
+                self._update_desired_state(
+                    event.link, event.message, time.monotonic()
+                )
 
-    def _hear(
+    def _update_desired_state(
         self, link: links.Link, news: messages.WishesNews, now: float
     ) -> None:
         needs = needs_heard(news.needs)
-        self._informants.told(link, news.in_contact and needs is not None, now)
+        self._desired_state_sources.update(
+            link, news.in_contact and needs is not None, now
+        )
         self.follower.hear(heard_of(news.named, now))
         if needs is not None:
             self.follower.hear_needs(needs)
 
     def _wishes_cadence(self) -> Cadence | None:
-        is_alone = self._informants.are_missing(time.monotonic())
+        is_alone = self._desired_state_sources.must_read_store(
+            time.monotonic()
+        )
         return self._alone_cadence if is_alone else None
 
     def _reload(self) -> None:
--- a/packages/burdockchute-agent/burdockchute_agent/staged/outlook.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/forecast.py
@@ -21,7 +21,7 @@
 from burdockchute_agent.staged.rollout import Rollout
 
 
-class Outlook(NamedTuple):
+class AvailabilityForecast(NamedTuple):
     """What an agent knows for its estimates.
 
     `report` is the engine's own, None while it does not answer. `version_s`
@@ -49,7 +49,7 @@
         return _first(self._opens_in_s(r, now) for r in self.rollouts)
 
     def _closes_in_s(self, rollout: Rollout, now: float) -> float | None:
-        loaded = loaded_on(self.report).get(rollout.model)
+        loaded = servable_versions(self.report).get(rollout.model)
         if loaded is None:
             return None
         progress = rollout.next_load(loaded, self.copying)
@@ -74,7 +74,7 @@
             return None
         history = self.history(rollout.model)
         least = versions.least_allowed(history, self.version_s, now)
-        loaded = loaded_on(self.report).get(rollout.model)
+        loaded = servable_versions(self.report).get(rollout.model)
         if loaded is not None and loaded >= least:
             return None
         if self.report.loading:
@@ -82,7 +82,7 @@
             return staging.LOAD_S + drain_s
         return _first(
             self._copied_in_s(rollout, version, now)
-            for version in rollout.held()
+            for version in rollout.held_versions()
             if version >= least
         )
 
@@ -101,7 +101,7 @@
         )
 
 
-def loaded_on(report: EngineReport | None) -> dict[str, int]:
+def servable_versions(report: EngineReport | None) -> dict[str, int]:
     """Give the versions on which an engine may begin requests.
 
     While it loads it takes nothing new, so there are none.
--- a/packages/burdockchute-agent/burdockchute_agent/staged/loading.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/loading.py
@@ -27,7 +27,7 @@
 MAX_ROUNDS = 4
 
 
-class StagedAhead(NamedTuple):
+class ChunksStaged(NamedTuple):
     """Chunks of a copy were staged before it is whole.
 
     `reason` says why some were not, empty where all were.
@@ -48,9 +48,9 @@
     reason: str
 
 
-def stage_ahead(
+def stage_chunks(
     engine: Engine, copy: Copy, model: str, version: int, chunks: list[int]
-) -> StagedAhead:
+) -> ChunksStaged:
     """Stage chunks as they come; gives those that lie there now.
 
     What is staged outlives this process and a crash of the engine, and what
@@ -67,9 +67,9 @@
         result = engine.stage(model, index, data)
         if isinstance(result, Failure):
             reason = result.failure().reason
-            return StagedAhead(model, version, staged, reason)
+            return ChunksStaged(model, version, staged, reason)
         staged.append(index)
-    return StagedAhead(model, version, staged)
+    return ChunksStaged(model, version, staged)
 
 
 def load(
--- a/packages/burdockchute-agent/burdockchute_agent/staged/origins.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/origins.py
@@ -25,13 +25,13 @@
     return f'{model}@{version}'
 
 
-def split_name(name: str) -> tuple[str, int]:
+def parse_copy_name(name: str) -> tuple[str, int]:
     """Give model and version of a copy's name."""
     model, _at, version = name.rpartition('@')
     return model, int(version)
 
 
-class NamedOrigin:
+class PlatformOrigin:
     """Reads copies by their names; see `origin_reads.OriginClient`."""
 
     def __init__(self, origin: Origin) -> None:
@@ -40,14 +40,14 @@
 
     def manifest(self, digest: str) -> Result[Manifest, OriginError]:
         """Read the manifest of a copy."""
-        model, version = split_name(digest)
+        model, version = parse_copy_name(digest)
         return self._origin.manifest(model, version, digest).alt(_error)
 
     def chunk(
         self, manifest: Manifest, index: int
     ) -> Result[bytes, OriginError]:
         """Read one chunk; its length is right, its digest not yet checked."""
-        model, version = split_name(manifest.digest)
+        model, version = parse_copy_name(manifest.digest)
         result = self._origin.chunk(model, version, index).alt(_error)
         if isinstance(result, Success):
             data = result.unwrap()
--- a/packages/burdockchute-agent/burdockchute_agent/staged/rollout.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/rollout.py
@@ -38,14 +38,14 @@
         """Give a copy, whole or not, once its size is known."""
 
 
-class Loaded(NamedTuple):
+class EngineLoadState(NamedTuple):
     """What the engine says: the version it holds and whether it loads."""
 
     version: int | None
     loading: bool
 
 
-class Ahead(NamedTuple):
+class ChunksToStage(NamedTuple):
     """Chunks of a copy to put into the staging area before it is whole."""
 
     version: int
@@ -74,18 +74,20 @@
         self._staged: set[tuple[int, int]] = set()
         self._began: dict[int, float] = {}
 
-    def note_staged(self, version: int, chunks: Iterable[int]) -> None:
+    def record_staged(self, version: int, chunks: Iterable[int]) -> None:
         """Note chunks that lie in the staging area now."""
         self._staged = {
             (each, chunk) for each, chunk in self._staged if each == version
         }
         self._staged.update((version, chunk) for chunk in chunks)
 
-    def forget_staged(self) -> None:
+    def clear_staged(self) -> None:
         """Note that nothing is known of the staging area any more."""
         self._staged.clear()
 
-    def to_stage(self, engine: Loaded, copies: Copies) -> Ahead | None:
+    def chunks_to_stage(
+        self, engine: EngineLoadState, copies: Copies
+    ) -> ChunksToStage | None:
         """Give what to stage ahead, None for nothing now.
 
         What lies there is loaded as it is at the moment of an order. So
@@ -106,13 +108,13 @@
             for chunk in range(len(copy.manifest.chunks))
             if copy.holds(chunk) and (version, chunk) not in self._staged
         ]
-        return Ahead(version, copy, chunks) if chunks else None
+        return ChunksToStage(version, copy, chunks) if chunks else None
 
     def name(self, version: int) -> str:
         """Give the name of a version's copy."""
         return copy_name(self.model, version)
 
-    def note_whole(self, copies: Copies) -> None:
+    def update_ready(self, copies: Copies) -> None:
         """Take up a copy that has become whole."""
         for version in self.wanted:
             newer = self.ready is None or version > self.ready
@@ -120,7 +122,7 @@
                 self.ready = version
                 self.ordered_at = None
 
-    def choose(
+    def choose_versions(
         self, history: History, copies: Copies, limit_s: float, now: float
     ) -> None:
         """Choose which versions to copy now."""
@@ -145,14 +147,14 @@
         for version in wanted:
             self._began.setdefault(version, now)
 
-    def held(self) -> list[int]:
+    def held_versions(self) -> list[int]:
         """Give the versions of which copies are kept, the first first."""
-        versions_held = list(self.wanted)
-        if self.ready is not None and self.ready not in versions_held:
-            versions_held.append(self.ready)
-        return versions_held
+        held = list(self.wanted)
+        if self.ready is not None and self.ready not in held:
+            held.append(self.ready)
+        return held
 
-    def standing(self, engine: Loaded) -> Standing:
+    def standing(self, engine: EngineLoadState) -> Standing:
         """Give what is known for the decision to order a load."""
         return Standing(
             self.ready, engine.version, engine.loading, self.ordered_at
--- a/packages/burdockchute-agent/burdockchute_agent/staged/staged_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/staged_task.py
@@ -42,15 +42,15 @@
 from burdockchute_agent.origin_reads import OriginClient
 from burdockchute_agent.policy import DEFAULT
 from burdockchute_agent.staged import loading
+from burdockchute_agent.staged.forecast import AvailabilityForecast
+from burdockchute_agent.staged.forecast import servable_versions
+from burdockchute_agent.staged.loading import ChunksStaged
 from burdockchute_agent.staged.loading import LoadEnded
-from burdockchute_agent.staged.loading import StagedAhead
 from burdockchute_agent.staged.origins import copy_name
-from burdockchute_agent.staged.origins import NamedOrigin
 from burdockchute_agent.staged.origins import NoOrigin
-from burdockchute_agent.staged.outlook import loaded_on
-from burdockchute_agent.staged.outlook import Outlook
-from burdockchute_agent.staged.rollout import Ahead
-from burdockchute_agent.staged.rollout import Loaded
+from burdockchute_agent.staged.origins import PlatformOrigin
+from burdockchute_agent.staged.rollout import ChunksToStage
+from burdockchute_agent.staged.rollout import EngineLoadState
 from burdockchute_agent.staged.rollout import Rollout
 
 # How often the engine is looked at; it is on the same machine and what it
@@ -146,7 +146,7 @@
 
     def loaded(self) -> dict[str, int]:
         """Give the versions on which the engine may begin requests."""
-        return loaded_on(self.report)
+        return servable_versions(self.report)
 
     def held_bytes(self) -> int:
         """Give the memory that all copies take."""
@@ -154,14 +154,14 @@
 
     def closes_in_s(self) -> float | None:
         """Estimate when the engine takes nothing new, None for not soon."""
-        return self._outlook().closes_in_s(self._now())
+        return self._forecast().closes_in_s(self._now())
 
     def opens_in_s(self) -> float | None:
         """Estimate when the engine takes requests again, None for unknown."""
-        return self._outlook().opens_in_s(self._now())
+        return self._forecast().opens_in_s(self._now())
 
-    def _outlook(self) -> Outlook:
-        return Outlook(
+    def _forecast(self) -> AvailabilityForecast:
+        return AvailabilityForecast(
             self.report,
             self._rollouts.values(),
             self._copying,
@@ -187,7 +187,7 @@
                 self._looked(result)
             case LoadEnded():
                 self._load_ended(message)
-            case StagedAhead():
+            case ChunksStaged():
                 self._staged_ahead(message)
             case FoundHere(name=name, found=found):
                 self._copying.held_back.discard(name)
@@ -223,10 +223,10 @@
             )
         self.report = report
 
-    def _staged_ahead(self, staged: StagedAhead) -> None:
+    def _staged_ahead(self, staged: ChunksStaged) -> None:
         rollout = self._rollouts[staged.model]
         rollout.is_staging = False
-        rollout.note_staged(staged.version, staged.chunks)
+        rollout.record_staged(staged.version, staged.chunks)
         if staged.reason:
             rollout.stage_after = self._now() + staging.ORDER_PAUSE_S
             logs.warn(
@@ -240,7 +240,7 @@
     def _forget_staged(self) -> None:
         # It may have lost power, and what was staged with it.
         for rollout in self._rollouts.values():
-            rollout.forget_staged()
+            rollout.clear_staged()
 
     def _load_ended(self, ended: LoadEnded) -> None:
         rollout = self._rollouts[ended.model]
@@ -283,8 +283,10 @@
 
     def _step_model(self, rollout: Rollout, now: float) -> None:
         history = self._beliefs().history(rollout.model)
-        rollout.note_whole(self._copying)
-        rollout.choose(history, self._copying, self.bounds.version_s, now)
+        rollout.update_ready(self._copying)
+        rollout.choose_versions(
+            history, self._copying, self.bounds.version_s, now
+        )
         for version in rollout.wanted:
             self._look_through(rollout.model, rollout.name(version), now)
         engine = self._engine_with(rollout.model)
@@ -304,13 +306,15 @@
             rollout.busy = True
             gevent.spawn(self._load, copy, rollout.model, rollout.ready)
 
-    def _engine_with(self, model: str) -> Loaded:
+    def _engine_with(self, model: str) -> EngineLoadState:
         if self.report is None:
-            return Loaded(None, True)
-        return Loaded(self.report.versions.get(model), self.report.loading)
+            return EngineLoadState(None, True)
+        return EngineLoadState(
+            self.report.versions.get(model), self.report.loading
+        )
 
     def _is_our_turn(
-        self, rollout: Rollout, engine: Loaded, now: float
+        self, rollout: Rollout, engine: EngineLoadState, now: float
     ) -> bool:
         # Where nothing is served yet a load takes nothing away.
         if engine.version is None or rollout.ready is None:
@@ -337,10 +341,10 @@
             name, self._own.name, self._hosts, staging.LOADING_SHARE
         )
 
-    def _stage_ahead(self, rollout: Rollout, engine: Loaded) -> None:
+    def _stage_ahead(self, rollout: Rollout, engine: EngineLoadState) -> None:
         if self._now() < rollout.stage_after:
             return
-        ahead = rollout.to_stage(engine, self._copying)
+        ahead = rollout.chunks_to_stage(engine, self._copying)
         if ahead is None or rollout.name(ahead.version) not in (
             self._looked_through
         ):
@@ -348,9 +352,9 @@
         rollout.is_staging = True
         gevent.spawn(self._put_ahead, rollout.model, ahead)
 
-    def _put_ahead(self, model: str, ahead: Ahead) -> None:
+    def _put_ahead(self, model: str, ahead: ChunksToStage) -> None:
         self.inbox.put(
-            loading.stage_ahead(
+            loading.stage_chunks(
                 self._engine, ahead.copy, model, ahead.version, ahead.chunks
             )
         )
@@ -365,7 +369,7 @@
         return [
             _target(rollout.model, version)
             for rollout in self._rollouts.values()
-            for version in rollout.held()
+            for version in rollout.held_versions()
         ]
 
     # Peers.
@@ -401,7 +405,7 @@
         if needs is None or not needs.origin:
             return NoOrigin()
         address = self._adapter.endpoint(needs.origin)
-        return NamedOrigin(self._adapter.origin(address))
+        return PlatformOrigin(self._adapter.origin(address))
 
     def _look_through(self, model: str, name: str, now: float) -> None:
         """Take what lies in the staging area already.
--- a/packages/burdockchute-agent/tests/test_staged.py
+++ b/packages/burdockchute-agent/tests/test_staged.py
@@ -14,7 +14,7 @@
 from burdockchute.weights.copies import Copy
 from burdockchute_agent.imports import Imports
 from burdockchute_agent.staged import loading
-from burdockchute_agent.staged.rollout import Loaded
+from burdockchute_agent.staged.rollout import EngineLoadState
 from burdockchute_agent.staged.rollout import Rollout
 
 CONTENT = b'abcdefgh'
@@ -139,7 +139,9 @@
         self.rollout.wanted = (2,)
 
     def to_stage(self, loaded=1, loading=False):
-        return self.rollout.to_stage(Loaded(loaded, loading), self.copies)
+        return self.rollout.chunks_to_stage(
+            EngineLoadState(loaded, loading), self.copies
+        )
 
     def test_a_killed_agent_goes_on_with_its_copy(self):
         """An agent is killed, or all lose power, with a copy nearly whole.
@@ -149,7 +151,7 @@
         """
         engine = FakeEngine()
         ahead = self.to_stage()
-        loading.stage_ahead(engine, ahead.copy, 'story', 2, ahead.chunks)
+        loading.stage_chunks(engine, ahead.copy, 'story', 2, ahead.chunks)
         again = Copy(self.copies.copy.manifest)
         for index in range(4):
             lying = engine.staged('story', index)
@@ -159,11 +161,11 @@
 
     def test_each_chunk_is_staged_once(self):
         self.assertEqual([0, 1, 2], self.to_stage().chunks)
-        self.rollout.note_staged(2, [0, 1])
+        self.rollout.record_staged(2, [0, 1])
         self.assertEqual([2], self.to_stage().chunks)
-        self.rollout.note_staged(2, [2])
+        self.rollout.record_staged(2, [2])
         self.assertIsNone(self.to_stage())
-        self.rollout.forget_staged()
+        self.rollout.clear_staged()
         self.assertEqual([0, 1, 2], self.to_stage().chunks)
 
     def test_nothing_is_staged_over_what_waits_to_be_loaded(self):
@@ -186,7 +188,7 @@
             CallFailed(0, 'no answer')
         )
         ahead = self.to_stage()
-        staged = loading.stage_ahead(
+        staged = loading.stage_chunks(
             engine, ahead.copy, 'story', 2, ahead.chunks
         )
         self.assertEqual(([], 'no answer'), (staged.chunks, staged.reason))
--- a/packages/burdockchute-testing/burdockchute_testing/emulator/swarm.py
+++ b/packages/burdockchute-testing/burdockchute_testing/emulator/swarm.py
@@ -34,7 +34,7 @@
 from burdockchute_agent.copying import reading
 from burdockchute_agent.policy import DEFAULT
 from burdockchute_agent.staged.origins import copy_name
-from burdockchute_agent.staged.rollout import Loaded
+from burdockchute_agent.staged.rollout import EngineLoadState
 from burdockchute_agent.staged.rollout import Rollout
 from burdockchute_agent.uploads import Upload
 from burdockchute_agent.uploads import Uploads
@@ -139,9 +139,9 @@
     def look(self, now: float) -> None:
         """Choose versions, ask for chunks, load what is whole."""
         fleet, history = self._swarm.fleet, self._swarm.history
-        self.rollout.note_whole(self)
-        self.rollout.choose(history, self, fleet.version_s, now)
-        held = [copy_name(MODEL, v) for v in self.rollout.held()]
+        self.rollout.update_ready(self)
+        self.rollout.choose_versions(history, self, fleet.version_s, now)
+        held = [copy_name(MODEL, v) for v in self.rollout.held_versions()]
         for digest in set(self.copiers) - set(held):
             del self.copiers[digest]
         for digest in held:
@@ -326,9 +326,9 @@
         since = self.whole_at.get(ready, now)
         return pacing.may_load(before, known, since, now)
 
-    def loaded(self) -> Loaded:
+    def loaded(self) -> EngineLoadState:
         """Give what the engine holds."""
-        return Loaded(self.version, self.loads_until is not None)
+        return EngineLoadState(self.version, self.loads_until is not None)
 
 
 class Swarm:
