--- a/packages/burdockchute-agent/burdockchute_agent/engine_view.py
+++ b/packages/burdockchute-agent/burdockchute_agent/engine_state_tracker.py
@@ -11,7 +11,7 @@
 FAILED_READS = 3
 
 
-class EngineView:
+class EngineStateTracker:
     """The engine's last reported state, and since when it is the same.
 
     An engine that checks fencing numbers and has seen ours obeys nobody
@@ -24,10 +24,10 @@
         self.state: EngineState | None = None
         self.asked = now
         self._failed = 0
-        self._unsettled_at = now
+        self._changed_at = now
         self._doubted_at: dict[Weights, float] = {}
 
-    def seen(self, asked: float, state: EngineState | EngineError) -> None:
+    def update(self, asked: float, state: EngineState | EngineError) -> None:
         """Take a report that was asked for at `asked`."""
         if isinstance(state, EngineError):
             self._failed += 1
@@ -36,15 +36,15 @@
             return
         self._failed = 0
         if self.state is None or self.state.loaded != state.loaded:
-            self._unsettled_at = asked
+            self._changed_at = asked
         self.state = state
         self.asked = asked
 
-    def ordered(self, now: float) -> None:
+    def order_sent(self, now: float) -> None:
         """Note that an order was given, whatever became of it."""
-        self._unsettled_at = max(self._unsettled_at, now)
+        self._changed_at = max(self._changed_at, now)
 
-    def doubted(self, weights: Weights, now: float) -> None:
+    def mark_doubtful(self, weights: Weights, now: float) -> None:
         """Note that an answer named other weights than these."""
         self._doubted_at[weights] = now
 
@@ -63,7 +63,7 @@
         items = self.state.loaded if self.state else frozenset()
         return {(item.kind, item.name) for item in items}
 
-    def settled(
+    def is_settled(
         self, weights: Weights, fence: int, checks: bool, settle_s: float
     ) -> bool:
         """Tell whether the report about these weights can be relied on.
@@ -74,7 +74,7 @@
         """
         if self.state is None:
             return False
-        since = self._unsettled_at
+        since = self._changed_at
         doubted = self._doubted_at.get(weights)
         if doubted is not None:
             since = max(since, doubted)
@@ -84,7 +84,7 @@
         fenced = checks and self.state.checks_fencing
         return fenced and self.state.fence == fence and doubted is None
 
-    def superseded(self, fence: int) -> bool:
+    def is_superseded(self, fence: int) -> bool:
         """Tell whether the engine obeys a later agent than this one."""
         return self.state is not None and self.state.fence > fence
 
--- a/packages/burdockchute-agent/burdockchute_agent/engine_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/engine_task.py
@@ -15,7 +15,7 @@
 from burdockchute.upstreams.orders import Engine
 from burdockchute.upstreams.orders import EngineState
 from burdockchute.upstreams.orders import Order
-from burdockchute_agent.events import EngineSeen
+from burdockchute_agent.events import EngineStateRead
 from burdockchute_agent.events import OrderEnded
 
 # How long an engine that lost its weights may go unnoticed; requests carry
@@ -51,7 +51,7 @@
                 )
                 if isinstance(seen, EngineState) and seen.loading:
                     self._busy_until = asked + BUSY_S
-                self._report(EngineSeen(asked, seen))
+                self._report(EngineStateRead(asked, seen))
         finally:
             engine.close()
 
--- a/packages/burdockchute-agent/burdockchute_agent/events.py
+++ b/packages/burdockchute-agent/burdockchute_agent/events.py
@@ -18,7 +18,7 @@
     fence: int
 
 
-class EngineSeen(NamedTuple):
+class EngineStateRead(NamedTuple):
     """The engine's state was read, asked for at `asked` (monotonic)."""
 
     asked: float
--- a/packages/burdockchute-agent/burdockchute_agent/hosting_plan.py
+++ b/packages/burdockchute-agent/burdockchute_agent/hosting_plan.py
@@ -32,17 +32,17 @@
 
 
 class HostingPlan(NamedTuple):
-    """Everything that follows from the present table and members.
+    """What an instance holds, given the current table and members.
 
-    `targets` is by kind and name of the row, `hosts` by digest and names
-    all who want it, `peers` are those to dial and `before` names for each
-    row whose turn to load comes before ours.
+    `targets` is by kind and name of the row. `hosts` maps each digest to the
+    names of all members that want it, `peers` are the members to dial, and
+    `predecessors` maps each row to the member that loads before this one.
     """
 
     targets: Mapping[RowId, Target]
     hosts: Mapping[str, tuple[str, ...]]
     peers: Mapping[str, Member]
-    before: Mapping[RowId, str | None]
+    predecessors: Mapping[RowId, str | None]
 
 
 def plan_hosting(
@@ -51,8 +51,8 @@
     """Work out what an instance should hold and with whom it exchanges."""
     targets = _targets(table, members, own)
     hosts = _hosts_by_model(table, members, own)
-    before = {
-        row: _before(target, own, hosts[target.base or target.name])
+    predecessors = {
+        row: _predecessor(target, own, hosts[target.base or target.name])
         for row, target in targets.items()
     }
     return HostingPlan(
@@ -61,8 +61,8 @@
             target.digest: tuple(hosts[target.base or target.name])
             for target in targets.values()
         },
-        _peers(own, hosts, before, policy),
-        before,
+        _peers(own, hosts, predecessors, policy),
+        predecessors,
     )
 
 
@@ -91,7 +91,7 @@
     }
 
 
-def _before(
+def _predecessor(
     target: Target, own: Member, hosts: Mapping[str, Member]
 ) -> str | None:
     key = f'{target.kind}/{target.name}/{target.digest}'
@@ -101,11 +101,11 @@
 def _peers(
     own: Member,
     hosts: Mapping[str, Mapping[str, Member]],
-    before: Mapping[RowId, str | None],
+    predecessors: Mapping[RowId, str | None],
     policy: Policy,
 ) -> dict[str, Member]:
     found: dict[str, Member] = {}
-    watched = {name for name in before.values() if name is not None}
+    watched = {name for name in predecessors.values() if name is not None}
     for model, members in hosts.items():
         chosen = policy.neighbours(
             f'model/{model}', own, tuple(members.values())
--- a/packages/burdockchute-agent/burdockchute_agent/row_switch.py
+++ b/packages/burdockchute-agent/burdockchute_agent/row_switch.py
@@ -29,24 +29,26 @@
         self.kind = kind
         self.name = name
         self.target: Target | None = None
-        self.before: str | None = None
-        self.beside = True
+        self.predecessor: str | None = None
+        self.fits_two_versions = True
         self._ordered: Order | None = None
         self._ended_at: float | None = None
         self._not_before = 0.0
         self._failures = 0
 
-    def want(self, target: Target | None, before: str | None) -> None:
+    def set_target(
+        self, target: Target | None, predecessor: str | None
+    ) -> None:
         """Take what the row names now; None when it is gone.
 
         `before` names whose turn to load comes before ours.
         """
-        self.before = before
+        self.predecessor = predecessor
         if self.target and target and self.target.digest == target.digest:
             self.target = target
             return
         self.target = target
-        self.beside = True
+        self.fits_two_versions = True
         self._failures = 0
         self._not_before = 0.0
 
@@ -54,7 +56,7 @@
         """Tell whether no order is pending and none failed just now."""
         return self._ordered is None and now >= self._not_before
 
-    def order_for(
+    def make_order(
         self, step: Load | Unload, fence: int, size: int, source: str
     ) -> Order:
         """Make the order for a step.
@@ -75,19 +77,19 @@
             deadline_ms=int(order_deadline_s(size) * 1000),
         )
 
-    def ordered(self, order: Order) -> None:
+    def order_sent(self, order: Order) -> None:
         """Note an order that is on its way."""
         self._ordered = order
         self._ended_at = None
 
-    def ended(
+    def order_ended(
         self, outcome: str | OrderRefused | EngineError, now: float
     ) -> None:
         """Note the engine's reply; the effect is yet to be seen."""
         self._ended_at = now
         if isinstance(outcome, EngineError):
             if outcome.status in NO_ROOM_STATUS:
-                self.beside = False
+                self.fits_two_versions = False
 
     def observe(
         self,
--- a/packages/burdockchute-agent/burdockchute_agent/weights_states.py
+++ b/packages/burdockchute-agent/burdockchute_agent/weights_states.py
@@ -6,21 +6,24 @@
 from burdockchute.upstreams.gate import Weights
 from burdockchute.wire import messages
 from burdockchute_agent.copying import Copying
-from burdockchute_agent.engine_view import EngineView
+from burdockchute_agent.engine_state_tracker import EngineStateTracker
 from burdockchute_agent.row_switch import RowSwitch
 
 
 def states_of(
-    switch: RowSwitch, view: EngineView, gate: Gate, copying: Copying
+    switch: RowSwitch,
+    tracker: EngineStateTracker,
+    gate: Gate,
+    copying: Copying,
 ) -> list[messages.WeightsState]:
     """Give one state for each digest that is wanted or loaded for a row."""
-    digests = set(view.loaded(switch.kind, switch.name))
+    digests = set(tracker.loaded(switch.kind, switch.name))
     if switch.target:
         digests.add(switch.target.digest)
     found = []
     for digest in sorted(digests):
         held, total = copying.progress(digest)
-        is_loading = digest in view.loading(switch.kind, switch.name)
+        is_loading = digest in tracker.loading(switch.kind, switch.name)
         is_whole = held == total > 0
         found.append(
             messages.WeightsState(
--- a/packages/burdockchute-agent/burdockchute_agent/weights_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/weights_task.py
@@ -45,9 +45,9 @@
 from burdockchute_agent.bandwidth import Bandwidth
 from burdockchute_agent.copying import Copying
 from burdockchute_agent.copying import Source
+from burdockchute_agent.engine_state_tracker import EngineStateTracker
 from burdockchute_agent.engine_task import EngineTask
-from burdockchute_agent.engine_view import EngineView
-from burdockchute_agent.events import EngineSeen
+from burdockchute_agent.events import EngineStateRead
 from burdockchute_agent.events import OrderEnded
 from burdockchute_agent.events import Registered
 from burdockchute_agent.hosting_plan import plan_hosting
@@ -107,7 +107,7 @@
         now = time.monotonic()
         rng = random.Random(seed)
         self._policy = policy
-        self._view = EngineView(now)
+        self._tracker = EngineStateTracker(now)
         self._engine = EngineTask(upstream_url, self.inbox.put)
         self._peers = Peers(self._own, hello, self.inbox, rng)
         self._copying = Copying(
@@ -147,7 +147,7 @@
             state
             for switch in self._switches.values()
             for state in states_of(
-                switch, self._view, self.gate, self._copying
+                switch, self._tracker, self.gate, self._copying
             )
         ]
 
@@ -192,8 +192,8 @@
             case Registered(fence=fence):
                 self.fence = fence
                 event('registered', fence=fence)
-            case EngineSeen(asked=asked, state=state):
-                self._view.seen(asked, state)
+            case EngineStateRead(asked=asked, state=state):
+                self._tracker.update(asked, state)
             case OrderEnded():
                 self._order_ended(message, now)
             case _:
@@ -209,7 +209,9 @@
         for row in plan.targets:
             self._switch(row)
         for row, switch in self._switches.items():
-            switch.want(plan.targets.get(row), plan.before.get(row))
+            switch.set_target(
+                plan.targets.get(row), plan.predecessors.get(row)
+            )
         self._peers.want(plan.peers)
         self._copying.want(
             list(plan.targets.values()), plan.hosts, time.monotonic()
@@ -222,8 +224,8 @@
 
     def _order_ended(self, ended: OrderEnded, now: float) -> None:
         order = ended.order
-        self._view.ordered(now)
-        self._switch((order.kind, order.name)).ended(ended.outcome, now)
+        self._tracker.order_sent(now)
+        self._switch((order.kind, order.name)).order_ended(ended.outcome, now)
         if isinstance(ended.outcome, OrderRefused):
             warn(
                 'order_refused',
@@ -235,7 +237,7 @@
     def _step(self, now: float) -> float:
         for weights in self.gate.take_doubts():
             warn('answer_of_other_weights', digest=weights.digest)
-            self._view.doubted(weights, now)
+            self._tracker.mark_doubtful(weights, now)
         # Chunks come hundreds of times a second; the rows need no look
         # after each.
         if self._is_engine and now - self._rows_at >= ROWS_S:
@@ -256,11 +258,11 @@
     def _find_loaded_rows(self) -> None:
         # What the engine has from before this agent started must be
         # unloaded too if no row names it.
-        for kind, name in self._view.rows():
+        for kind, name in self._tracker.rows():
             self._switch((kind, name))
 
     def _check_superseded(self) -> None:
-        superseded = self.fence != NO_FENCE and self._view.superseded(
+        superseded = self.fence != NO_FENCE and self._tracker.is_superseded(
             self.fence
         )
         if superseded and not self._superseded:
@@ -271,9 +273,9 @@
         self._superseded = superseded
 
     def _step_row(self, switch: RowSwitch, now: float) -> None:
-        loaded = self._view.loaded(switch.kind, switch.name)
-        loading = self._view.loading(switch.kind, switch.name)
-        if switch.observe(loaded, loading, self._view.asked, now):
+        loaded = self._tracker.loaded(switch.kind, switch.name)
+        loading = self._tracker.loading(switch.kind, switch.name)
+        if switch.observe(loaded, loading, self._tracker.asked, now):
             warn('order_failed', row=f'{switch.kind}/{switch.name}')
         if self._superseded:
             return
@@ -298,7 +300,7 @@
     def _situation(self, switch: RowSwitch, now: float) -> switching.Situation:
         target = switch.target
         digest = target.digest if target else ''
-        loaded = self._view.loaded(switch.kind, switch.name)
+        loaded = self._tracker.loaded(switch.kind, switch.name)
         gates = [
             gate
             for gate in self.gate.states()
@@ -310,24 +312,24 @@
             wanted=digest,
             whole=copy is not None,
             loaded=loaded,
-            loading=self._view.loading(switch.kind, switch.name),
+            loading=self._tracker.loading(switch.kind, switch.name),
             is_open=frozenset(g.weights.digest for g in gates if g.is_open),
             in_flight={g.weights.digest: g.in_flight for g in gates},
             may_load=target is not None and self._may_load(switch, now),
             settled=target is not None and self._settled(target),
             base_loaded=target is not None and self._base_loaded(target),
-            beside=switch.beside,
+            beside=switch.fits_two_versions,
         )
 
     def _may_load(self, switch: RowSwitch, now: float) -> bool:
         # Where nothing is served yet a load takes nothing away.
-        if not self._view.loaded(switch.kind, switch.name):
+        if not self._tracker.loaded(switch.kind, switch.name):
             return True
         digest = switch.target.digest if switch.target else ''
         whole_since = self._copying.whole_since(digest)
         if whole_since is None:
             return False
-        name = switch.before
+        name = switch.predecessor
         known = pacing.Before(
             is_open=name is not None
             and self._copying.is_open_at(name, digest),
@@ -338,7 +340,7 @@
     def _settled(self, target: Target) -> bool:
         weights = Weights(target.kind, target.name, target.digest)
         settle_s = switching.settle_s(self._copying.size_of(target.digest))
-        return self.fence != NO_FENCE and self._view.settled(
+        return self.fence != NO_FENCE and self._tracker.is_settled(
             weights, self.fence, target.checks_fencing, settle_s
         )
 
@@ -346,7 +348,7 @@
         if target.kind != 'adapter':
             return True
         base = self._switch(('model', target.base)).target
-        loaded = self._view.loaded('model', target.base)
+        loaded = self._tracker.loaded('model', target.base)
         return base is not None and base.digest in loaded
 
     def _open(self, switch: RowSwitch, digest: str) -> None:
@@ -372,14 +374,14 @@
     ) -> None:
         if self.fence == NO_FENCE or not switch.may_order(now):
             return
-        order = switch.order_for(
+        order = switch.make_order(
             step,
             self.fence,
             self._copying.size_of(step.digest),
             self._source(),
         )
-        switch.ordered(order)
-        self._view.ordered(now)
+        switch.order_sent(order)
+        self._tracker.order_sent(now)
         self._engine.orders.put(order)
         event(
             'order_given',
--- a/packages/burdockchute-agent/tests/test_weights_parts.py
+++ b/packages/burdockchute-agent/tests/test_weights_parts.py
@@ -21,7 +21,7 @@
 from burdockchute_agent.copier import AskPeer
 from burdockchute_agent.copier import Copier
 from burdockchute_agent.copier import ReadOrigin
-from burdockchute_agent.engine_view import EngineView
+from burdockchute_agent.engine_state_tracker import EngineStateTracker
 from burdockchute_agent.origin_turn import MANIFEST
 from burdockchute_agent.row_switch import RowSwitch
 from burdockchute_agent.uploads import Upload
@@ -251,63 +251,67 @@
     return {ReadOrigin(index) for index in range(-1, 4)}
 
 
-class EngineViewTest(unittest.TestCase):
+class EngineStateTrackerTest(unittest.TestCase):
     SETTLE_S = settle_s(0)
 
     def state(self, *digests: str, fence: int = 7, checks: bool = True):
         loaded = frozenset(Loaded('model', 'story', d) for d in digests)
         return EngineState(fence, checks, loaded, frozenset())
 
-    def settled(self, view: EngineView, checks: bool = True) -> bool:
-        return view.settled(STORY, 7, checks, self.SETTLE_S)
+    def settled(
+        self, tracker: EngineStateTracker, checks: bool = True
+    ) -> bool:
+        return tracker.is_settled(STORY, 7, checks, self.SETTLE_S)
 
     def test_engine_that_checks_our_number_is_believed_at_once(self):
-        view = EngineView(0.0)
-        view.seen(1.0, self.state('d'))
-        self.assertTrue(self.settled(view))
-        self.assertFalse(self.settled(view, checks=False))
+        tracker = EngineStateTracker(0.0)
+        tracker.update(1.0, self.state('d'))
+        self.assertTrue(self.settled(tracker))
+        self.assertFalse(self.settled(tracker, checks=False))
 
     def test_engine_that_ignores_numbers_is_watched_first(self):
         # An agent that was paused and replaced gives its last order when it
         # goes on. An engine that ignores numbers obeys.
-        view = EngineView(0.0)
-        view.seen(1.0, self.state('d', checks=False))
-        self.assertFalse(self.settled(view))
-        view.seen(1.0 + self.SETTLE_S + 0.1, self.state('d', checks=False))
-        self.assertTrue(self.settled(view))
+        tracker = EngineStateTracker(0.0)
+        tracker.update(1.0, self.state('d', checks=False))
+        self.assertFalse(self.settled(tracker))
+        tracker.update(
+            1.0 + self.SETTLE_S + 0.1, self.state('d', checks=False)
+        )
+        self.assertTrue(self.settled(tracker))
 
     def test_change_starts_the_watch_again(self):
-        view = EngineView(0.0)
-        view.seen(1.0, self.state('d', checks=False))
-        view.seen(6.0, self.state('d', 'e', checks=False))
-        view.seen(8.0, self.state('d', checks=False))
-        self.assertFalse(self.settled(view))
+        tracker = EngineStateTracker(0.0)
+        tracker.update(1.0, self.state('d', checks=False))
+        tracker.update(6.0, self.state('d', 'e', checks=False))
+        tracker.update(8.0, self.state('d', checks=False))
+        self.assertFalse(self.settled(tracker))
 
     def test_old_number_in_the_engine_is_not_ours(self):
-        view = EngineView(0.0)
-        view.seen(1.0, self.state('d', fence=3))
-        self.assertFalse(self.settled(view))
-        self.assertFalse(view.superseded(7))
-        view.seen(2.0, self.state('d', fence=9))
-        self.assertTrue(view.superseded(7))
+        tracker = EngineStateTracker(0.0)
+        tracker.update(1.0, self.state('d', fence=3))
+        self.assertFalse(self.settled(tracker))
+        self.assertFalse(tracker.is_superseded(7))
+        tracker.update(2.0, self.state('d', fence=9))
+        self.assertTrue(tracker.is_superseded(7))
 
     def test_doubt_is_not_cleared_by_one_report(self):
-        view = EngineView(0.0)
-        view.seen(1.0, self.state('d'))
-        view.doubted(STORY, 1.5)
-        view.seen(2.0, self.state('d'))
-        self.assertFalse(self.settled(view))
-        view.seen(1.5 + self.SETTLE_S + 0.1, self.state('d'))
-        self.assertTrue(self.settled(view))
+        tracker = EngineStateTracker(0.0)
+        tracker.update(1.0, self.state('d'))
+        tracker.mark_doubtful(STORY, 1.5)
+        tracker.update(2.0, self.state('d'))
+        self.assertFalse(self.settled(tracker))
+        tracker.update(1.5 + self.SETTLE_S + 0.1, self.state('d'))
+        self.assertTrue(self.settled(tracker))
 
     def test_engine_that_answers_no_more_has_nothing_loaded(self):
-        view = EngineView(0.0)
-        view.seen(1.0, self.state('d'))
-        view.seen(2.0, EngineError('refused'))
-        self.assertEqual({'d'}, view.loaded('model', 'story'))
+        tracker = EngineStateTracker(0.0)
+        tracker.update(1.0, self.state('d'))
+        tracker.update(2.0, EngineError('refused'))
+        self.assertEqual({'d'}, tracker.loaded('model', 'story'))
         for asked in (3.0, 4.0):
-            view.seen(asked, EngineError('refused'))
-        self.assertEqual(frozenset(), view.loaded('model', 'story'))
+            tracker.update(asked, EngineError('refused'))
+        self.assertEqual(frozenset(), tracker.loaded('model', 'story'))
 
 
 class RowSwitchTest(unittest.TestCase):
@@ -321,9 +325,9 @@
         )
 
     def test_report_older_than_the_reply_tells_nothing(self):
-        self.switch.ordered(self.order)
+        self.switch.order_sent(self.order)
         self.assertFalse(self.observe(9.0, 'd'))
-        self.switch.ended('order-1', 1.0)
+        self.switch.order_ended('order-1', 1.0)
         self.assertFalse(self.observe(0.9))
         self.assertFalse(self.switch.may_order(1.0))
         self.assertFalse(self.observe(1.1, 'd'))
@@ -332,22 +336,22 @@
     def test_lost_reply_of_an_order_that_took_effect(self):
         # The engine obeys and its reply is lost. A second order would make
         # it load the same weights again; what it reports decides.
-        self.switch.ordered(self.order)
-        self.switch.ended(EngineError('timed out'), 1.0)
+        self.switch.order_sent(self.order)
+        self.switch.order_ended(EngineError('timed out'), 1.0)
         self.assertFalse(self.observe(1.1, 'd'))
         self.assertTrue(self.switch.may_order(1.1))
 
     def test_failed_load_is_tried_again_later(self):
-        self.switch.ordered(self.order)
-        self.switch.ended('order-1', 1.0)
+        self.switch.order_sent(self.order)
+        self.switch.order_ended('order-1', 1.0)
         self.assertTrue(self.observe(2.0))
         self.assertFalse(self.switch.may_order(2.5))
         self.assertTrue(self.switch.may_order(3.1))
 
     def test_no_room_beside_the_old_version(self):
-        self.switch.ordered(self.order)
-        self.switch.ended(EngineError('full', 507), 1.0)
-        self.assertFalse(self.switch.beside)
+        self.switch.order_sent(self.order)
+        self.switch.order_ended(EngineError('full', 507), 1.0)
+        self.assertFalse(self.switch.fits_two_versions)
 
 
 class BandwidthTest(unittest.TestCase):
