--- a/packages/burdockchute-entry/burdockchute_entry/straight/app.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/app.py
@@ -33,10 +33,10 @@
 from burdockchute.wire import messages
 from burdockchute_entry.straight.agents_task import AgentsTask
 from burdockchute_entry.straight.callers import CallersApp
-from burdockchute_entry.straight.callers import Leaving
+from burdockchute_entry.straight.callers import ShutdownState
 from burdockchute_entry.straight.counters import Counters
-from burdockchute_entry.straight.placer import Placer
-from burdockchute_entry.straight.sending import Tools
+from burdockchute_entry.straight.scheduler import Scheduler
+from burdockchute_entry.straight.sending import Dependencies
 
 # How the list of upstreams is read. An upstream that leaves must get nothing
 # new after two seconds, of which reading and sending take a part; so a change
@@ -45,7 +45,7 @@
 
 # How often queues are looked at although nothing came: an upstream that was
 # left alone for a while is tried again.
-FILL_S = 0.1
+ASSIGN_INTERVAL_S = 0.1
 
 # Configurations may be saved many times a second, and each is long; what is
 # saved within this time is read together.
@@ -55,7 +55,7 @@
 # Until then it still sends callers, who are served; a zone of which it has
 # taken out too many sends them on. These are refused, as a long answer
 # would be cut off by the end.
-TAKING_S = 2.4
+STILL_ACCEPTING_S = 2.4
 
 # Kept of the grace time for the end itself.
 END_S = 0.7
@@ -77,7 +77,7 @@
         now = time.monotonic
         rng = random.Random()
         self.lifetime = Lifetime(cfg.identity(machine), 'entry', lambda: 0)
-        self.placer = Placer(
+        self.scheduler = Scheduler(
             machine.bounds,
             now,
             rng,
@@ -104,19 +104,19 @@
             self._crash_learned,
             lambda: not self.follower.wishes_contact.lost,
             rng,
-            self.placer.learn_of_link,
+            self.scheduler.handle_link_event,
         )
         self.counters = Counters()
         self.callers = CallersApp(
-            Tools(
+            Dependencies(
                 adapter,
-                self.placer,
+                self.scheduler,
                 self._suspects,
                 now,
                 self.agents.inbox.put,
             ),
             self.beliefs,
-            lambda: Leaving(self.leaving, self.taking),
+            lambda: ShutdownState(self.leaving, self.taking),
             self.counters.finished,
         )
 
@@ -165,7 +165,9 @@
             'burdockchute.configuration_version', '1', self._configuration
         )
         metrics.watch(
-            'burdockchute.upstreams', '1', lambda: len(self.placer.targets())
+            'burdockchute.upstreams',
+            '1',
+            lambda: len(self.scheduler.targets()),
         )
 
     def _configuration(self) -> int | None:
@@ -194,7 +196,7 @@
                     'versions': dict(target.versions),
                     'failures': target.health.failures,
                 }
-                for target in self.placer.targets()
+                for target in self.scheduler.targets()
             ],
         }
 
@@ -210,10 +212,10 @@
         self._machine = site_settings.reload(
             self._cfg, self._adapter, self._machine
         )
-        self.placer.bound_by(self._machine.bounds)
+        self.scheduler.set_bounds(self._machine.bounds)
 
     def _changed(self, beliefs: Beliefs) -> None:
-        self.placer.learn(beliefs)
+        self.scheduler.update(beliefs)
         self.agents.inbox.put(beliefs)
 
     def _reported(self, address: str, report: messages.LoadReport) -> None:
@@ -221,7 +223,7 @@
             self.follower.hear(heard_of(report.named, time.monotonic()))
         if report.configuration is not None:
             self.follower.hear_configuration(report.configuration)
-        self.placer.reported(address, report)
+        self.scheduler.apply_load_report(address, report)
 
     def _crash_learned(self, learned: CrashLearned) -> None:
         seen = learned.seen
@@ -230,9 +232,9 @@
 
     def _keep_filling(self) -> None:
         while True:
-            gevent.sleep(FILL_S)
-            self.placer.look_at_links()
-            self.placer.fill_all()
+            gevent.sleep(ASSIGN_INTERVAL_S)
+            self.scheduler.check_links()
+            self.scheduler.assign_free_slots()
 
     def _probe(
         self, environ: dict[str, Any], start_response: Callable
@@ -260,7 +262,7 @@
         until = began + self._machine.bounds.grace_s - END_S
         logs.event('leaving', open_requests=self.callers.open_requests)
         self.leaving = True
-        gevent.sleep(TAKING_S)
+        gevent.sleep(STILL_ACCEPTING_S)
         self.taking = False
         while self.callers.open_requests and time.monotonic() < until:
             gevent.sleep(POLL_S)
--- a/packages/burdockchute-entry/burdockchute_entry/straight/attempts.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/attempts.py
@@ -12,9 +12,9 @@
 
 from burdockchute.upstreams.connections import Broken
 from burdockchute.upstreams.connections import Connection
-from burdockchute_entry.straight.lanes import Place
 from burdockchute_entry.straight.replies import StreamAnswer
 from burdockchute_entry.straight.replies import WholeAnswer
+from burdockchute_entry.straight.service_queues import Slot
 
 
 class Elsewhere(NamedTuple):
@@ -73,7 +73,7 @@
     for; None for no such bound.
     """
 
-    place: Place
+    slot: Slot
     conn: Connection
     at: float
     begin_by: float | None
--- a/packages/burdockchute-entry/burdockchute_entry/straight/callers.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/callers.py
@@ -36,7 +36,7 @@
 from burdockchute_entry.straight.replies import StreamAnswer
 from burdockchute_entry.straight.replies import StreamBroken
 from burdockchute_entry.straight.replies import WholeAnswer
-from burdockchute_entry.straight.sending import Tools
+from burdockchute_entry.straight.sending import Dependencies
 from burdockchute_entry.straight.watching import CallerWatch
 
 # A caller that comes before the first configuration is told to come back
@@ -60,7 +60,7 @@
     elapsed_s: float
 
 
-class Leaving(NamedTuple):
+class ShutdownState(NamedTuple):
     """Whether this entry leaves, and whether it takes requests all the same.
 
     Callers whose requests it still takes are told to come on another
@@ -114,9 +114,9 @@
 
     def __init__(
         self,
-        tools: Tools,
+        tools: Dependencies,
         beliefs: Callable[[], Beliefs],
-        leaving: Callable[[], Leaving],
+        leaving: Callable[[], ShutdownState],
         observe: Callable[[Finished], None],
     ) -> None:
         self.open_requests = 0
--- a/packages/burdockchute-entry/burdockchute_entry/straight/exchange.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/exchange.py
@@ -24,13 +24,13 @@
 from burdockchute_entry.straight.attempts import Silent
 from burdockchute_entry.straight.attempts import TimeUp
 from burdockchute_entry.straight.handover import OK
-from burdockchute_entry.straight.lanes import Place
-from burdockchute_entry.straight.lanes import Wish
 from burdockchute_entry.straight.replies import Reply
 from burdockchute_entry.straight.replies import StreamAnswer
 from burdockchute_entry.straight.replies import WholeAnswer
+from burdockchute_entry.straight.sending import Dependencies
 from burdockchute_entry.straight.sending import Sender
-from burdockchute_entry.straight.sending import Tools
+from burdockchute_entry.straight.service_queues import RequestSpec
+from burdockchute_entry.straight.service_queues import Slot
 from burdockchute_entry.straight.streams import Stream
 
 GATEWAY_TIMEOUT = 504
@@ -56,7 +56,7 @@
 
     def __init__(
         self,
-        tools: Tools,
+        tools: Dependencies,
         asked: Asked,
         ctx: RequestContext,
         route: Route,
@@ -64,8 +64,8 @@
         elapsed_s: float,
     ) -> None:
         self.stream: Stream | None = None
-        wish = Wish(service, asked.model, route.objective_s, elapsed_s)
-        self.sender = Sender(tools, asked, ctx, route, wish)
+        spec = RequestSpec(service, asked.model, route.objective_s, elapsed_s)
+        self.sender = Sender(tools, asked, ctx, route, spec)
         self._tools = tools
         # Upstreams that have the request in hand, the newest last.
         self._open: list[Sent] = []
@@ -87,17 +87,17 @@
             reason = 'it crashed the upstreams that ran it'
             return NotRun(reason, 503, SUSPECT_RETRY_S)
         while True:
-            place = sender.next_place()
-            if not isinstance(place, Place):
-                return self._truthful(place)
-            attempt = self._attempt(place)
+            slot = sender.next_place()
+            if not isinstance(slot, Slot):
+                return self._truthful(slot)
+            attempt = self._attempt(slot)
             if isinstance(attempt, Answered):
                 return attempt.reply
             if isinstance(attempt, TimeUp):
                 return Unknown('no answer in time', GATEWAY_TIMEOUT)
             if not sender.may_go_on(attempt):
                 return self._conclude(attempt)
-            self._log_retry(place, attempt)
+            self._log_retry(slot, attempt)
 
     def _conclude(self, attempt: Elsewhere | Lost | Failed) -> Reply:
         if isinstance(attempt, Failed):
@@ -113,8 +113,8 @@
             return Unknown(outcome.reason, BAD_GATEWAY)
         return outcome
 
-    def _attempt(self, place: Place) -> Attempt:
-        sent = self.sender.dispatch(place)
+    def _attempt(self, slot: Slot) -> Attempt:
+        sent = self.sender.dispatch(slot)
         if isinstance(sent, Elsewhere):
             return sent
         self._open.append(sent)
@@ -185,22 +185,22 @@
         Raises _Replaced if one does, and Silent if an upstream that was
         asked before has begun to answer.
         """
-        sender, target = self.sender, sent.place.target
+        sender, target = self.sender, sent.slot.target
         earlier = self._open[: self._open.index(sent)]
         if any(not other.conn.is_quiet() for other in earlier):
             raise Silent('an earlier upstream answers', False)
-        if not sender.placing.avoids(target):
+        if not sender.pending.avoids(target):
             sender.note_silent(sent)
         while self._may_ask_more():
-            place = sender.next_place()
-            if not isinstance(place, Place):
+            slot = sender.next_place()
+            if not isinstance(slot, Slot):
                 break
             silent = Lost('the upstream is silent')
             if not sender.may_go_on(silent):
-                self._tools.placer.release(sender.placing, place)
+                self._tools.scheduler.release(sender.pending, slot)
                 break
-            self._log_retry(sent.place, silent)
-            attempt = self._attempt(place)
+            self._log_retry(sent.slot, silent)
+            attempt = self._attempt(slot)
             if isinstance(attempt, Answered):
                 raise _Replaced(attempt)
             if not sent.conn.is_quiet():
@@ -219,15 +219,17 @@
         return TimeUp()
 
     def _log_retry(
-        self, place: Place, attempt: Elsewhere | Lost | Failed
+        self, slot: Slot, attempt: Elsewhere | Lost | Failed
     ) -> None:
         sender = self.sender
-        service = sender.placing.wish.service
-        left = self._tools.placer.retries.left(service, self._tools.now())
+        service = sender.pending.spec.service
+        left = self._tools.scheduler.retry_budgets.balance(
+            service, self._tools.now()
+        )
         logs.event(
             'request_retried',
             request_id=sender.asked.id,
-            upstream=place.target.id,
+            upstream=slot.target.id,
             reason=attempt.reason,
             runs=sender.runs,
             sends=sender.sends,
--- a/packages/burdockchute-entry/burdockchute_entry/straight/handover.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/handover.py
@@ -23,8 +23,8 @@
 from burdockchute_entry.straight.attempts import Overtaken
 from burdockchute_entry.straight.attempts import Sent
 from burdockchute_entry.straight.attempts import Silent
-from burdockchute_entry.straight.lanes import Place
 from burdockchute_entry.straight.sending import Sender
+from burdockchute_entry.straight.service_queues import Slot
 
 OK = 200
 
@@ -48,7 +48,7 @@
     @property
     def upstream(self) -> str:
         """The id of the upstream."""
-        return self.sent.place.target.id
+        return self.sent.slot.target.id
 
     @property
     def torn(self) -> bytes:
@@ -88,7 +88,7 @@
 class Handover:
     """Has the rest of a stream begun at another upstream.
 
-    `place` is where to ask first; None to wait for a place and, if that
+    `slot` is where to ask first; None to wait for a place and, if that
     attempt comes to nothing, for another one. The attempts that come to
     nothing are told to `interrupted`, by upstream, cause and reason.
     """
@@ -97,15 +97,15 @@
         self,
         sender: Sender,
         head: AnswerHead,
-        place: Place | None,
+        slot: Slot | None,
         interrupted: Interrupted,
     ) -> None:
-        self.is_move = place is not None
+        self.is_move = slot is not None
         self._sender = sender
         self._head = head
         self._interrupted = interrupted
         self._cancelled = False
-        self._place = place
+        self._place = slot
         self._greenlet = gevent.spawn(self._seek)
 
     @property
@@ -124,18 +124,18 @@
     def cancel(self) -> None:
         """End it; what it has begun is given up."""
         self._cancelled = True
-        place, self._place = self._place, None
-        if place is not None:
+        slot, self._place = self._place, None
+        if slot is not None:
             # Killed before it has begun, its greenlet would keep the place.
-            self._sender.release(place)
+            self._sender.release(slot)
         if not self._greenlet.ready():
             self._greenlet.kill(block=False)
         elif isinstance(rest := self._greenlet.value, Rest):
             self._sender.abandon(rest.run.sent)
 
     def _seek(self) -> Rest | NoRest:
-        place, self._place = self._place, None
-        found = self._begin(place) if place else self._seek_place()
+        slot, self._place = self._place, None
+        found = self._begin(slot) if slot else self._seek_place()
         if self._cancelled and isinstance(found, Rest):
             self._sender.abandon(found.run.sent)
         if isinstance(found, Rest | NoRest):
@@ -144,18 +144,18 @@
 
     def _seek_place(self) -> Rest | NoRest:
         while True:
-            place = self._sender.next_place()
-            if not isinstance(place, Place):
-                return NoRest(place.reason)
-            found = self._begin(place)
+            slot = self._sender.next_place()
+            if not isinstance(slot, Slot):
+                return NoRest(slot.reason)
+            found = self._begin(slot)
             if isinstance(found, Rest):
                 return found
             if not self._sender.may_go_on(found, wait_limits.RETRY_WAIT_S):
                 return NoRest(found.reason)
 
-    def _begin(self, place: Place) -> Rest | Elsewhere | Lost:
-        target = place.target.id
-        sent = self._sender.dispatch(place)
+    def _begin(self, slot: Slot) -> Rest | Elsewhere | Lost:
+        target = slot.target.id
+        sent = self._sender.dispatch(slot)
         if isinstance(sent, Elsewhere):
             self._interrupted(target, 'refused', sent.reason)
             return sent
@@ -166,7 +166,7 @@
                 refused = self._sender.refused(sent, head)
                 self._interrupted(target, 'refused', refused.reason)
                 return refused
-            run = Run(self._sender, sent, self._checked(head))
+            run = Run(self._sender, sent, self._validated(head))
             begun = run.next()
             if begun is None:
                 raise Broken('no event in time', False)
@@ -178,7 +178,7 @@
             self._sender.abandon(sent)
             raise
 
-    def _checked(self, head: AnswerHead | None) -> AnswerHead:
+    def _validated(self, head: AnswerHead | None) -> AnswerHead:
         if head is None:
             raise Broken('no answer in time', False)
         if head.status != OK or not head.is_stream or not head.sealed:
--- a/packages/burdockchute-entry/burdockchute_entry/straight/known_targets.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/known_targets.py
@@ -18,8 +18,8 @@
 from burdockchute.model.upstreams import Upstream
 from burdockchute.wire import messages
 from burdockchute_entry.straight import targets
-from burdockchute_entry.straight.lanes import Placing
-from burdockchute_entry.straight.lanes import Wish
+from burdockchute_entry.straight.service_queues import PendingRequest
+from burdockchute_entry.straight.service_queues import RequestSpec
 from burdockchute_entry.straight.survey import Survey
 from burdockchute_entry.straight.targets import Target
 
@@ -53,7 +53,7 @@
 
     # What is learnt.
 
-    def learn(self, beliefs: Beliefs, now: float) -> None:
+    def update(self, beliefs: Beliefs, now: float) -> None:
         """Take in new beliefs."""
         self._beliefs = beliefs
         present = {upstream.id: upstream for upstream in beliefs.present()}
@@ -72,7 +72,7 @@
             address = str(target.upstream.endpoint)
             self._at_address.setdefault(address, []).append(name)
 
-    def reported(
+    def apply_load_report(
         self, address: str, report: messages.LoadReport, now: float
     ) -> set[str]:
         """Take in what the agent at an address reports.
@@ -137,96 +137,98 @@
             self._beliefs.history(model), version, self.bounds.version_s
         )
 
-    def hosts(self, placing: Placing, now: float) -> list[Target]:
+    def hosts(self, pending: PendingRequest, now: float) -> list[Target]:
         """Give the targets that may run a request, with room or without."""
-        may_run = self._rule(placing, now)
+        may_run = self._rule(pending, now)
         return [
             target
-            for target in self._usable(placing.wish.service, now)
+            for target in self._usable(pending.spec.service, now)
             if may_run(target)
         ]
 
-    def may_host(self, placing: Placing, now: float) -> bool:
+    def may_host(self, pending: PendingRequest, now: float) -> bool:
         """Tell whether any target may run a request, now or after a while.
 
         Those that are left alone after a failure, or had no room, count as
         well.
         """
-        fits = self._fits(placing, now)
+        fits = self._fits(pending, now)
         return any(
-            target.upstream.service == placing.wish.service
+            target.upstream.service == pending.spec.service
             and not target.upstream.draining
-            and not placing.avoids(target)
+            and not pending.avoids(target)
             and fits(target)
             for target in self._targets.values()
         )
 
-    def why_nobody(self, placing: Placing, now: float) -> str:
+    def why_nobody(self, pending: PendingRequest, now: float) -> str:
         """Say why no target may run a request now, for the log."""
-        wish = placing.wish
+        spec = pending.spec
         own = [
             target
             for target in self._targets.values()
-            if target.upstream.service == wish.service
+            if target.upstream.service == spec.service
         ]
-        usable = self._usable(wish.service, now)
-        least = self._least_version(wish, now)
-        fit = [target for target in usable if _may_run(target, wish, least)]
+        usable = self._usable(spec.service, now)
+        least = self._least_version(spec, now)
+        fit = [target for target in usable if _may_run(target, spec, least)]
         return (
             f'{len(own)} known, {len(usable)} usable, {len(fit)} with weights '
             f'from version {least}'
         )
 
-    def loads(self, wish: Wish, now: float) -> list[InstanceLoad]:
-        """Give the loads of the targets that share a wish's service."""
+    def loads(self, spec: RequestSpec, now: float) -> list[InstanceLoad]:
+        """Give the loads of the targets that share a request's service."""
         return [
             target.load
-            for target in self._usable(wish.service, now)
-            if not wish.model or wish.model in target.versions
+            for target in self._usable(spec.service, now)
+            if not spec.model or spec.model in target.versions
         ]
 
-    def opening(self, placing: Placing, now: float) -> wait_limits.Opening:
+    def opening(
+        self, pending: PendingRequest, now: float
+    ) -> wait_limits.Opening:
         """Give what opens for a request, for this entry.
 
         Engines load, or copy what they are to load, and their agents tell
         when that is likely to end. Places count that open while the answer
         can still be whole in time.
         """
-        wish = placing.wish
-        if not wish.model or wish.exact is not None:
+        spec = pending.spec
+        if not spec.model or spec.exact is not None:
             return wait_limits.NOTHING_OPENS
         opening = [
             (opens_at, target.load.slots)
             for target in self._targets.values()
-            if target.upstream.service == wish.service
+            if target.upstream.service == spec.service
             and not target.upstream.draining
             and (opens_at := _opens_at(target, now)) is not None
         ]
         if not opening:
             return wait_limits.NOTHING_OPENS
-        latest = placing.ctx.deadline - self.answer_s(placing)
+        latest = pending.ctx.deadline - self.answer_s(pending)
         slots = sum(slots for opens_at, slots in opening if opens_at <= latest)
         first_at = min(opens_at for opens_at, _slots in opening)
         return wait_limits.Opening(
             max(0.0, first_at - now), slots / self.entries
         )
 
-    def answer_s(self, placing: Placing) -> float:
+    def answer_s(self, pending: PendingRequest) -> float:
         """Estimate how long an answer takes on an engine that just opened.
 
         It is full at once then, and reads all prompts at the same time.
         """
-        cost = self.cost(placing.wish.service)
+        cost = self.cost(pending.spec.service)
         if cost is None:
             return 0.0
-        service = placing.wish.service
+        service = pending.spec.service
         slots = max(
             target.load.slots
             for target in self._targets.values()
             if target.upstream.service == service
         )
         full = engine_placement.EngineView('', 0, 0, slots, 1, 0, unseen=slots)
-        return engine_placement.lasts_s(full, wanted_of(placing), cost)
+        return engine_placement.lasts_s(full, wanted_of(pending), cost)
 
     def view(self, target: Target, now: float) -> engine_placement.EngineView:
         """Give what is known of a target as an engine."""
@@ -255,7 +257,7 @@
 
     def choose(
         self,
-        placing: Placing,
+        pending: PendingRequest,
         survey: Survey,
         left_s: float | None,
         unit_s: float,
@@ -268,20 +270,20 @@
         time; `unit_s` is the usual time for a unit of work. `reserve` is the
         part of an engine's slots that is kept free of late work.
         """
-        found = survey.open_to(self._rule(placing, now))
-        cost = self.cost(placing.wish.service)
+        found = survey.open_to(self._rule(pending, now))
+        cost = self.cost(pending.spec.service)
         if cost is None:
             load = placement.choose(
                 [target.load for target, _view in found.values()],
-                placing.work,
+                pending.work,
                 unit_s,
                 now,
                 self._rng,
             )
             return found[load.name][0] if load else None
         views = [view for _target, view in found.values()]
-        wanted = wanted_of(placing)
-        begun = placing.resuming
+        wanted = wanted_of(pending)
+        begun = pending.resuming
         drawn = engine_placement.draw(views, self._rng)
         view = engine_placement.choose(
             drawn, wanted, cost, left_s, reserve, begun
@@ -299,57 +301,61 @@
             if target.upstream.service == service and target.is_usable(now)
         ]
 
-    def _rule(self, placing: Placing, now: float) -> Callable[[Target], bool]:
-        fits = self._fits(placing, now)
+    def _rule(
+        self, pending: PendingRequest, now: float
+    ) -> Callable[[Target], bool]:
+        fits = self._fits(pending, now)
         return lambda target: (
-            not placing.avoids(target)
-            and not placing.was_rejected(target, now)
+            not pending.avoids(target)
+            and not pending.was_rejected(target, now)
             and fits(target)
         )
 
-    def _fits(self, placing: Placing, now: float) -> Callable[[Target], bool]:
-        wish = placing.wish
-        least = self._least_version(wish, now)
+    def _fits(
+        self, pending: PendingRequest, now: float
+    ) -> Callable[[Target], bool]:
+        spec = pending.spec
+        least = self._least_version(spec, now)
         # The same for all targets with a version, and looked up for each one
         # in every round of giving out places.
         ends: dict[int, float | None] = {}
 
         def begins_in_time(target: Target) -> bool:
-            version = target.versions.get(wish.model)
+            version = target.versions.get(spec.model)
             if version is None:
                 return True
             if version not in ends:
-                ends[version] = self.ends_at(wish.model, version)
+                ends[version] = self.ends_at(spec.model, version)
             ends_at = ends[version]
             return ends_at is None or versions.begins_in_time(
-                ends_at, target.begins_in_s(now), now
+                ends_at, target.first_event_estimate_s(now), now
             )
 
         return lambda target: (
-            _may_run(target, wish, least) and begins_in_time(target)
+            _may_run(target, spec, least) and begins_in_time(target)
         )
 
-    def _least_version(self, wish: Wish, now: float) -> int:
-        if not wish.model:
+    def _least_version(self, spec: RequestSpec, now: float) -> int:
+        if not spec.model:
             return 0
-        history = self._beliefs.history(wish.model)
+        history = self._beliefs.history(spec.model)
         return versions.least_allowed(history, self.bounds.version_s, now)
 
 
-def wanted_of(placing: Placing) -> engine_placement.Wanted:
+def wanted_of(pending: PendingRequest) -> engine_placement.Wanted:
     """Give what placement needs of a request."""
     return engine_placement.Wanted(
-        placing.ctx.prompt_tokens, placing.ctx.max_tokens
+        pending.ctx.prompt_tokens, pending.ctx.max_tokens
     )
 
 
-def _may_run(target: Target, wish: Wish, least: int) -> bool:
-    if not wish.model:
+def _may_run(target: Target, spec: RequestSpec, least: int) -> bool:
+    if not spec.model:
         return True
-    version = target.versions.get(wish.model)
+    version = target.versions.get(spec.model)
     if version is None or version < least:
         return False
-    return wish.exact in (None, version)
+    return spec.exact in (None, version)
 
 
 def _opens_at(target: Target, now: float) -> float | None:
--- a/packages/burdockchute-entry/burdockchute_entry/straight/retry_budgets.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/retry_budgets.py
@@ -18,33 +18,33 @@
         self._entries = entries
         self._budgets: dict[str, retries.Budget] = {}
 
-    def count_first(self, service: str, now: float) -> None:
+    def record_first_attempt(self, service: str, now: float) -> None:
         """Count a request that is sent for the first time."""
         terms = self._terms()
         budget = self._budget(service, now, terms)
         self._budgets[service] = retries.earn(budget, now, terms)
 
-    def take(self, service: str, now: float, begun: bool = False) -> bool:
+    def take(self, service: str, now: float, resuming: bool = False) -> bool:
         """Take one retry out of a service's budget, if it has one.
 
-        `begun` is for the rest of a stream, for which a part is kept.
+        `resuming` is for the rest of a stream, for which a part is kept.
         """
         terms = self._terms()
         budget = self._budget(service, now, terms)
         self._budgets[service], allowed = retries.spend(
-            budget, now, terms, _kept(terms, begun)
+            budget, now, terms, _kept(terms, resuming)
         )
         return allowed
 
-    def next_in_s(
-        self, service: str, now: float, begun: bool = False
+    def next_retry_in_s(
+        self, service: str, now: float, resuming: bool = False
     ) -> float:
         """Give when time alone brings a retry, in seconds from now."""
         terms = self._terms()
         budget = self._budget(service, now, terms)
-        return retries.next_in_s(budget, now, terms, _kept(terms, begun))
+        return retries.next_in_s(budget, now, terms, _kept(terms, resuming))
 
-    def left(self, service: str, now: float) -> float:
+    def balance(self, service: str, now: float) -> float:
         """Give the balance of a service's budget."""
         return self._budget(service, now, self._terms()).balance
 
@@ -63,5 +63,5 @@
         return self._budgets.get(service) or retries.full_budget(now, terms)
 
 
-def _kept(terms: retries.Terms, begun: bool) -> float:
-    return 0.0 if begun else retries.kept_for_begun(terms)
+def _kept(terms: retries.Terms, resuming: bool) -> float:
+    return 0.0 if resuming else retries.kept_for_begun(terms)
--- a/packages/burdockchute-entry/burdockchute_entry/straight/sending.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/sending.py
@@ -35,10 +35,10 @@
 from burdockchute_entry.straight.attempts import Overtaken
 from burdockchute_entry.straight.attempts import Sent
 from burdockchute_entry.straight.attempts import Silent
-from burdockchute_entry.straight.lanes import Place
-from burdockchute_entry.straight.lanes import Placing
-from burdockchute_entry.straight.lanes import Wish
-from burdockchute_entry.straight.placer import Placer
+from burdockchute_entry.straight.scheduler import Scheduler
+from burdockchute_entry.straight.service_queues import PendingRequest
+from burdockchute_entry.straight.service_queues import RequestSpec
+from burdockchute_entry.straight.service_queues import Slot
 
 # Longest body of a plain answer that is held until it is whole.
 MAX_ANSWER_BYTES = 8 * 1024 * 1024
@@ -56,14 +56,14 @@
 Read = TypeVar('Read')
 
 
-class Tools(NamedTuple):
+class Dependencies(NamedTuple):
     """What all exchanges of an entry share.
 
     `crash` tells other entries of a request that was in flight in a crash.
     """
 
     adapter: Adapter
-    placer: Placer
+    scheduler: Scheduler
     suspects: Suspects
     now: Callable[[], float]
     crash: Callable[[CrashSeen], None] = lambda seen: None
@@ -80,11 +80,11 @@
 
     def __init__(
         self,
-        tools: Tools,
+        tools: Dependencies,
         asked: Asked,
         ctx: RequestContext,
         route: Route,
-        wish: Wish,
+        spec: RequestSpec,
     ) -> None:
         self.runs = 0
         self.sends = 0
@@ -94,7 +94,7 @@
         self.ctx = ctx
         self.route = route
         work = Work(admission.cost_of(ctx), False, ctx.prompt_tokens, ())
-        self.placing = Placing(ctx, work, wish)
+        self.pending = PendingRequest(ctx, work, spec)
         self._tools = tools
         self._begun: set[Connection] = set()
         # Of the rest of a stream that has begun.
@@ -102,25 +102,27 @@
 
     # Places.
 
-    def next_place(self) -> Place | NotRun:
+    def next_place(self) -> Slot | NotRun:
         """Wait for a place."""
         now = self._tools.now()
         if self.ctx.deadline - now < LEAST_TIME_S:
             return NotRun('its time is over', 503, 0.0)
-        place = self._tools.placer.place(self.placing, self.ctx.deadline)
-        if isinstance(place, Place):
-            load = place.target.load
+        slot = self._tools.scheduler.wait_for_slot(
+            self.pending, self.ctx.deadline
+        )
+        if isinstance(slot, Slot):
+            load = slot.target.load
             logs.event(
                 'request_placed',
                 request_id=self.asked.id,
-                upstream=place.target.id,
-                version=place.version,
+                upstream=slot.target.id,
+                version=slot.version,
                 waited_ms=int((self._tools.now() - now) * 1000),
                 ours=load.ours,
                 others=load.others,
                 report_age_ms=int((now - load.reported_at) * 1000),
             )
-        return place
+        return slot
 
     def may_go_on(
         self, attempt: Elsewhere | Lost | Failed, wait_s: float = 0.0
@@ -142,61 +144,63 @@
 
     def _take_retry(self, wait_s: float) -> bool:
         budgets, service = (
-            self._tools.placer.retries,
-            self.placing.wish.service,
+            self._tools.scheduler.retry_budgets,
+            self.pending.spec.service,
         )
         until = self._tools.now() + wait_s
         while True:
             now = self._tools.now()
-            if budgets.take(service, now, self.placing.resuming):
+            if budgets.take(service, now, self.pending.resuming):
                 return True
-            next_s = budgets.next_in_s(service, now, self.placing.resuming)
+            next_s = budgets.next_retry_in_s(
+                service, now, self.pending.resuming
+            )
             if now + next_s > until:
                 return False
             gevent.sleep(next_s)
 
     # Dispatch.
 
-    def dispatch(self, place: Place) -> Sent | Elsewhere:
+    def dispatch(self, slot: Slot) -> Sent | Elsewhere:
         """Connect to the upstream of a place and send the request there.
 
         Raises Broken if it could not be sent whole; the place is free then.
         """
-        target = place.target
+        target = slot.target
         self.upstream = target.id
         self.sends += 1
         careful = not self.route.may_repeat
         try:
             conn = target.connection(self._tools.now(), careful)
         except NotConnected as exc:
-            target.failed(self._tools.now())
-            self.placing.avoided.add(target.id)
-            self._tools.placer.release(self.placing, place)
+            target.record_failure(self._tools.now())
+            self.pending.avoided.add(target.id)
+            self._tools.scheduler.release(self.pending, slot)
             return Elsewhere(f'no connection: {exc}', False)
         except BaseException:
-            self._tools.placer.release(self.placing, place)
+            self._tools.scheduler.release(self.pending, slot)
             raise
         begin_by = None
-        if place.version is not None:
-            begin_by = self._tools.placer.ends_at(
-                self.placing.wish.model, place.version
+        if slot.version is not None:
+            begin_by = self._tools.scheduler.ends_at(
+                self.pending.spec.model, slot.version
             )
-        return Sent(place, conn, self._tools.now(), begin_by)
+        return Sent(slot, conn, self._tools.now(), begin_by)
 
     def send(self, sent: Sent) -> None:
         """Send the request; raises Broken."""
         onward = Onward(
-            instance=sent.place.target.id,
+            instance=sent.slot.target.id,
             customer=self.ctx.customer,
             time_left_s=max(LEAST_TIME_S, self.ctx.deadline - sent.at),
-            version=sent.place.version,
+            version=sent.slot.version,
             resume_after=self.last_event,
             urgency=_urgency(self.ctx.priority),
         )
         data = self._tools.adapter.encode_request(self.asked, onward)
         if self.sends == 1:
-            self._tools.placer.retries.count_first(
-                self.placing.wish.service, sent.at
+            self._tools.scheduler.retry_budgets.record_first_attempt(
+                self.pending.spec.service, sent.at
             )
         self.runs += 1
         sent.conn.send(data, self.asked.method, self._is_ours)
@@ -244,7 +248,7 @@
     def note_begun(self, sent: Sent) -> None:
         """Note that the answer has begun: the prompt was read there."""
         self._begun.add(sent.conn)
-        self._tools.placer.began(self.placing, sent.place)
+        self._tools.scheduler.mark_started(self.pending, sent.slot)
 
     def _patiently(
         self,
@@ -252,7 +256,7 @@
         read: Callable[[], Read],
         until: Callable[[], bool] | None = None,
     ) -> Read | None:
-        target = sent.place.target
+        target = sent.slot.target
         while True:
             try:
                 result = read()
@@ -263,22 +267,24 @@
                 self._check_begun(sent, now)
                 if until is not None and until():
                     raise
-                silent = health.is_silent(target.heard_at, sent.at, now)
+                silent = health.is_silent(
+                    target.last_received_at, sent.at, now
+                )
                 if silent and self.route.may_repeat:
                     raise Silent('the upstream is silent', False) from None
                 continue
-            target.heard_at = self._tools.now()
+            target.last_received_at = self._tools.now()
             return result
 
-    def release(self, place: Place) -> None:
+    def release(self, slot: Slot) -> None:
         """Give back a place on which nothing was sent."""
-        self._tools.placer.release(self.placing, place)
+        self._tools.scheduler.release(self.pending, slot)
 
     def note_silent(self, sent: Sent) -> None:
         """Note that an upstream has fallen silent; it keeps the request."""
-        target = sent.place.target
-        self.placing.avoided.add(target.id)
-        target.failed(self._tools.now())
+        target = sent.slot.target
+        self.pending.avoided.add(target.id)
+        target.record_failure(self._tools.now())
 
     def _check_begun(self, sent: Sent, now: float) -> None:
         # What still waits in its engine would begin on weights that may
@@ -295,40 +301,48 @@
         """End it with the whole answer."""
         self._keep(sent, head)
         self._tools.suspects.answered(self.ctx.fingerprint)
-        self._tools.placer.answered(self.placing, sent.place, self._took(sent))
+        self._tools.scheduler.mark_answered(
+            self.pending, sent.slot, self._took(sent)
+        )
 
     def fail(self, sent: Sent, head: AnswerHead) -> None:
         """End it with the upstream's word that it failed."""
         self._keep(sent, head)
-        self.placing.avoided.add(sent.place.target.id)
-        self._tools.placer.failed(self.placing, sent.place, self._took(sent))
+        self.pending.avoided.add(sent.slot.target.id)
+        self._tools.scheduler.mark_failed(
+            self.pending, sent.slot, self._took(sent)
+        )
 
     def give_up(self, sent: Sent) -> None:
         """End it as too late."""
         sent.conn.close()
-        self._tools.placer.failed(self.placing, sent.place, self._took(sent))
+        self._tools.scheduler.mark_failed(
+            self.pending, sent.slot, self._took(sent)
+        )
 
     def abandon(self, sent: Sent) -> None:
         """End it for a reason that is not the upstream's."""
         sent.conn.close()
-        self._tools.placer.release(self.placing, sent.place)
+        self._tools.scheduler.release(self.pending, sent.slot)
 
     def refused(self, sent: Sent, head: AnswerHead) -> Elsewhere:
         """End it with the upstream's word that it did not run it."""
         self.runs -= 1
-        target = sent.place.target
+        target = sent.slot.target
         self._finish_refusal(sent, head)
         if head.status == MISDIRECTED:
             # Another instance stands there, or other weights are loaded,
             # than the list or its agent last said.
             target.versions = {}
-            target.failed(self._tools.now())
-        self._tools.placer.failed(self.placing, sent.place, self._took(sent))
-        if self.placing.resuming and head.status != MISDIRECTED:
+            target.record_failure(self._tools.now())
+        self._tools.scheduler.mark_failed(
+            self.pending, sent.slot, self._took(sent)
+        )
+        if self.pending.resuming and head.status != MISDIRECTED:
             self._rejections += 1
-            self.placing.rejected[target.id] = self._tools.now()
+            self.pending.rejected[target.id] = self._tools.now()
         else:
-            self.placing.avoided.add(target.id)
+            self.pending.avoided.add(target.id)
         return Elsewhere(f'refused with status {head.status}', True)
 
     def _finish_refusal(self, sent: Sent, head: AnswerHead) -> None:
@@ -345,20 +359,22 @@
 
     def broke(self, sent: Sent, exc: Broken) -> Lost:
         """End it with an answer that did not come whole."""
-        target = sent.place.target
-        self.placing.avoided.add(target.id)
+        target = sent.slot.target
+        self.pending.avoided.add(target.id)
         if isinstance(exc, Overtaken):
             self.abandon(sent)
             return Lost(str(exc))
         sent.conn.close()
         if exc.ended and not self.asked.resume_after:
             self._suspect(sent)
-        target.failed(self._tools.now())
-        self._tools.placer.failed(self.placing, sent.place, self._took(sent))
+        target.record_failure(self._tools.now())
+        self._tools.scheduler.mark_failed(
+            self.pending, sent.slot, self._took(sent)
+        )
         return Lost(str(exc))
 
     def _suspect(self, sent: Sent) -> None:
-        target = sent.place.target
+        target = sent.slot.target
         alone = target.load.ours == 1
         fingerprint = self.ctx.fingerprint
         convicted = self._tools.suspects.crashed(
@@ -378,7 +394,7 @@
         if head.idle_s is None:
             sent.conn.close()
             return
-        sent.place.target.keep(sent.conn, head.idle_s, self._tools.now())
+        sent.slot.target.keep(sent.conn, head.idle_s, self._tools.now())
 
     def _took(self, sent: Sent) -> float:
         return self._tools.now() - sent.at
--- a/packages/burdockchute-entry/burdockchute_entry/straight/lanes.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/service_queues.py
@@ -20,7 +20,7 @@
 MAX_WAITING = 512
 
 
-class Wish(NamedTuple):
+class RequestSpec(NamedTuple):
     """Where a request may run.
 
     `model` is empty for a service without weights. `elapsed_s` is what its
@@ -35,7 +35,7 @@
     exact: int | None = None
 
 
-class Lane(Pool):
+class ServiceQueue(Pool):
     """The requests that wait for one service.
 
     Streams that have begun wait in `resumed` and come first, then those in
@@ -73,14 +73,14 @@
         return len(self._late_served)
 
 
-class Place(NamedTuple):
+class Slot(NamedTuple):
     """Where a request runs, and the version of weights it runs on."""
 
     target: Target
     version: int | None
 
 
-class Placing:
+class PendingRequest:
     """One request that wants a place.
 
     `avoided` are targets that failed it, `rejected` when others had no room
@@ -88,16 +88,18 @@
     behind those, `resuming` once its caller has a part of its answer.
     """
 
-    def __init__(self, ctx: RequestContext, work: Work, wish: Wish) -> None:
+    def __init__(
+        self, ctx: RequestContext, work: Work, spec: RequestSpec
+    ) -> None:
         self.ctx = ctx
         self.work = work
-        self.wish = wish
+        self.spec = spec
         self.avoided: set[str] = set()
         self.rejected: dict[str, float] = {}
         self.is_new = False
         self.is_late = False
         self.resuming = False
-        self.place: events.AsyncResult = events.AsyncResult()
+        self.slot: events.AsyncResult = events.AsyncResult()
 
     def avoids(self, target: Target) -> bool:
         """Tell whether it has failed there already."""
--- a/packages/burdockchute-entry/burdockchute_entry/straight/slow_links.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/slow_links.py
@@ -30,10 +30,10 @@
         self._usual_s: dict[str, float] = {}
         self._known = 0
 
-    def note_begun(self, service: str, began_in_s: float) -> None:
+    def record_first_event(self, service: str, first_event_s: float) -> None:
         """Note what a request took from its sending to its first event."""
         self._usual_s[service] = slow_links.usual_begin_s(
-            self._usual_s.get(service, 0.0), began_in_s
+            self._usual_s.get(service, 0.0), first_event_s
         )
 
     def is_held(self, agent: str, now: float) -> bool:
@@ -41,7 +41,7 @@
         state = self._states.get(agent)
         return state is not None and slow_links.is_held(state, now)
 
-    def look(self, targets: Iterable[Target], now: float) -> None:
+    def check(self, targets: Iterable[Target], now: float) -> None:
         """Probe links that are suspect and tell of those that are slow."""
         agents = {_agent_of(target): target for target in targets}
         for agent in self._states.keys() - agents.keys():
@@ -55,7 +55,7 @@
             self._tell_of(agent, now)
             target.is_held = self.is_held(agent, now)
 
-    def learn(self, event: LinkEvent, now: float) -> None:
+    def handle_event(self, event: LinkEvent, now: float) -> None:
         """Take in what an agent returned, or another entry tells."""
         before = self._states.get(event.agent, LinkState())
         match event:
--- a/packages/burdockchute-entry/burdockchute_entry/straight/streams.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/streams.py
@@ -28,13 +28,13 @@
 from burdockchute_entry.straight.handover import Handover
 from burdockchute_entry.straight.handover import NoRest
 from burdockchute_entry.straight.handover import Run
-from burdockchute_entry.straight.lanes import Place
 from burdockchute_entry.straight.replies import StreamBroken
+from burdockchute_entry.straight.sending import Dependencies
 from burdockchute_entry.straight.sending import Sender
-from burdockchute_entry.straight.sending import Tools
+from burdockchute_entry.straight.service_queues import Slot
 
 # How often to look whether the rest has begun elsewhere.
-HANDOVER_LOOK_S = 0.05
+HANDOVER_POLL_S = 0.05
 
 # How often to seek the rest of a stream whose upstream stays silent.
 SEEK_S = 0.5
@@ -47,7 +47,7 @@
     """
 
     def __init__(
-        self, tools: Tools, sender: Sender, sent: Sent, head: AnswerHead
+        self, tools: Dependencies, sender: Sender, sent: Sent, head: AnswerHead
     ) -> None:
         self.count = 0
         self.longest_gap_s = 0.0
@@ -63,8 +63,8 @@
         self._sought_at: float | None = None
         self._lost: Lost | None = None
         self._event_at = 0.0
-        self._tokens_an_event = tools.placer.tokens_an_event(
-            sender.placing.wish.service
+        self._tokens_per_event = tools.scheduler.tokens_per_event(
+            sender.pending.spec.service
         )
 
     def begin(self) -> Begun | None:
@@ -177,7 +177,7 @@
         self._pin()
         assert self._run is not None
         self._sender.note_silent(self._run.sent)
-        if not self._tools.placer.may_host(self._sender.placing):
+        if not self._tools.scheduler.may_host(self._sender.pending):
             return
         if not self._sender.may_go_on(Lost(str(exc))):
             return
@@ -190,7 +190,7 @@
         Raises StreamBroken.
         """
         sent = self._ended()
-        upstream = sent.place.target.id
+        upstream = sent.slot.target.id
         self._note_interruption(upstream, cause_of(exc), str(exc))
         self._lost = self._sender.broke(sent, exc)
         if self._handover is None:
@@ -225,7 +225,7 @@
         if self._run is None or self._handover is not None:
             return
         now = self._tools.now()
-        sender, target = self._sender, self._run.sent.place.target
+        sender, target = self._sender, self._run.sent.slot.target
         closed_s = target.closed_for_s(now)
         if closed_s is None or not self._may_move or not self._may_overlap:
             return
@@ -236,35 +236,35 @@
         if not stream_moves.should_move(closed_s, rest_s, gap_s, sender.runs):
             return
         self._pin()
-        sender.placing.avoided.add(target.id)
-        place = self._tools.placer.place_now(
-            sender.placing, stream_moves.GAP_SHARE * gap_s, rest_s
+        sender.pending.avoided.add(target.id)
+        slot = self._tools.scheduler.reserve_slot(
+            sender.pending, stream_moves.GAP_SHARE * gap_s, rest_s
         )
-        if place is None:
+        if slot is None:
             return
-        service = sender.placing.wish.service
-        if not self._tools.placer.retries.take(service, now):
-            self._tools.placer.release(sender.placing, place)
+        service = sender.pending.spec.service
+        if not self._tools.scheduler.retry_budgets.take(service, now):
+            self._tools.scheduler.release(sender.pending, slot)
             return
         self._may_move = False
-        self._hand_over(place)
+        self._hand_over(slot)
 
     def _rest_s(self, now: float) -> float:
-        made = self.count * self._tokens_an_event
+        made = self.count * self._tokens_per_event
         likely = max(1, self._sender.ctx.max_tokens)
         return stream_moves.rest_s(now - self.began_at, made / likely)
 
     def _pin(self) -> None:
-        placing = self._sender.placing
-        placing.wish = placing.wish._replace(exact=self.head.version)
-        placing.resuming = True
+        pending = self._sender.pending
+        pending.spec = pending.spec._replace(exact=self.head.version)
+        pending.resuming = True
 
-    def _hand_over(self, place: Place | None) -> None:
+    def _hand_over(self, slot: Slot | None) -> None:
         self._handover = Handover(
-            self._sender, self.head, place, self._note_interruption
+            self._sender, self.head, slot, self._note_interruption
         )
         if self._run is not None:
-            self._run.sent.conn.look_each(HANDOVER_LOOK_S)
+            self._run.sent.conn.look_each(HANDOVER_POLL_S)
 
     def _take_over(self, handover: Handover) -> Begun | NoRest:
         """Change over to the run that has begun, if there is one."""
@@ -287,7 +287,7 @@
                 self._note_interruption(before, 'closing', why)
             self._sender.abandon(self._ended())
         event = 'stream_moved' if handover.is_move else 'stream_resumed'
-        self._log(event, rest.run.sent.place, before)
+        self._log(event, rest.run.sent.slot, before)
         self._run = rest.run
         return rest.begun
 
@@ -323,7 +323,7 @@
         self.interruptions.append(cause)
         sender = self._sender
         now = self._tools.now()
-        service = sender.placing.wish.service
+        service = sender.pending.spec.service
         logs.event(
             'stream_interrupted',
             logging.INFO,
@@ -338,16 +338,16 @@
             runs=sender.runs,
             sends=sender.sends,
             retries_left=round(
-                self._tools.placer.retries.left(service, now), 1
+                self._tools.scheduler.retry_budgets.balance(service, now), 1
             ),
         )
 
-    def _log(self, event: str, place: Place, before: str) -> None:
+    def _log(self, event: str, slot: Slot, before: str) -> None:
         logs.event(
             event,
             logging.INFO,
             request_id=self._sender.asked.id,
-            upstream=place.target.id,
+            upstream=slot.target.id,
             before=before,
             after=self._sender.last_event,
             version=self.head.version,
--- a/packages/burdockchute-entry/burdockchute_entry/straight/survey.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/survey.py
@@ -18,7 +18,7 @@
 
 from burdockchute.decisions import engine_placement
 from burdockchute.decisions.engine_placement import EngineView
-from burdockchute_entry.straight.lanes import Placing
+from burdockchute_entry.straight.service_queues import PendingRequest
 from burdockchute_entry.straight.targets import Target
 
 Look = Callable[[Target], EngineView]
@@ -74,17 +74,21 @@
         else:
             self._open.pop(target.id, None)
 
-    def found_nothing(self, placing: Placing, left_s: float | None) -> None:
+    def found_nothing(
+        self, pending: PendingRequest, left_s: float | None
+    ) -> None:
         """Note a request that no target could take."""
-        if not _is_choosy(placing):
-            self._in_vain.append((placing.ctx.prompt_tokens, left_s))
+        if not _is_choosy(pending):
+            self._in_vain.append((pending.ctx.prompt_tokens, left_s))
 
-    def is_hopeless(self, placing: Placing, left_s: float | None) -> bool:
+    def is_hopeless(
+        self, pending: PendingRequest, left_s: float | None
+    ) -> bool:
         """Tell whether a request asks for more than one that found nothing.
 
         A late one needs a free slot, whatever its prompt.
         """
-        prompt = placing.ctx.prompt_tokens
+        prompt = pending.ctx.prompt_tokens
         for other, other_left_s in self._in_vain:
             if left_s is None and other_left_s is None:
                 return True
@@ -95,6 +99,6 @@
         return False
 
 
-def _is_choosy(placing: Placing) -> bool:
-    picky = placing.avoided or placing.rejected
-    return bool(picky) or placing.wish.exact is not None
+def _is_choosy(pending: PendingRequest) -> bool:
+    picky = pending.avoided or pending.rejected
+    return bool(picky) or pending.spec.exact is not None
--- a/packages/burdockchute-entry/burdockchute_entry/straight/targets.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/targets.py
@@ -30,7 +30,7 @@
 SHARE_S = 0.15
 
 
-class Reading(NamedTuple):
+class UnstartedRequest(NamedTuple):
     """A request of ours that has not begun to answer."""
 
     prompt_tokens: int
@@ -41,8 +41,8 @@
     """One upstream.
 
     `versions` is what it last said that it has loaded, by its own entry in
-    the list or by its agent. `heard_at` is when its last byte came, `reading`
-    has our requests that have not begun to answer, by id.
+    the list or by its agent. `last_received_at` is when its last byte came,
+    `unstarted` has our requests that have not begun to answer, by id.
     """
 
     def __init__(self, upstream: Upstream, now: float) -> None:
@@ -50,11 +50,11 @@
         self.load = InstanceLoad(upstream.id, now)
         self.versions: Mapping[str, int] = upstream.versions
         self.health = health.Health()
-        self.heard_at = now
+        self.last_received_at = now
         self.slowness = 1.0
-        self.reading: dict[str, Reading] = {}
+        self.unstarted: dict[str, UnstartedRequest] = {}
         # What the last request took from its sending to its first event.
-        self.began_in_s = 0.0
+        self.last_first_event_s = 0.0
         # Requests end there without having begun.
         self.is_behind = False
         # Of its free slots, those that this entry may use until `share_until`.
@@ -102,7 +102,7 @@
 
     def view(self, is_far: bool, now: float) -> EngineView:
         """Give what is known of it as an engine that entries share."""
-        sent_at = [item.sent_at for item in self.reading.values()]
+        sent_at = [item.sent_at for item in self.unstarted.values()]
         free = health.room(self.load.room(now), sent_at, self.is_behind, now)
         return EngineView(
             name=self.id,
@@ -111,7 +111,7 @@
             slots=self.load.slots,
             room=0 if self.is_held else free,
             reading_tokens=sum(
-                item.prompt_tokens for item in self.reading.values()
+                item.prompt_tokens for item in self.unstarted.values()
             ),
             slowness=self.slowness,
             closes_in_s=None
@@ -121,15 +121,15 @@
             share=self.share,
         )
 
-    def begins_in_s(self, now: float) -> float:
+    def first_event_estimate_s(self, now: float) -> float:
         """Give what a request takes to begin there, by the last of ours."""
-        waits = [now - item.sent_at for item in self.reading.values()]
-        return max(self.began_in_s, *waits, 0.0)
+        waits = [now - item.sent_at for item in self.unstarted.values()]
+        return max(self.last_first_event_s, *waits, 0.0)
 
     def longest_wait_s(self, now: float) -> float:
         """Give for how long a request of ours has waited to begin there."""
         sent_at = min(
-            (item.sent_at for item in self.reading.values()), default=now
+            (item.sent_at for item in self.unstarted.values()), default=now
         )
         return now - sent_at
 
@@ -157,16 +157,18 @@
         conn.idle_until = now + known_s - IDLE_MARGIN_S
         self._idle.append((conn, now))
 
-    def read(self, request_id: str, begun: bool, now: float) -> bool:
+    def remove_unstarted(
+        self, request_id: str, begun: bool, now: float
+    ) -> bool:
         """Note that a request of ours has begun to answer, or ended.
 
         Tells whether this was not known yet.
         """
-        item = self.reading.pop(request_id, None)
+        item = self.unstarted.pop(request_id, None)
         if item is None:
             return False
         if begun:
-            self.began_in_s = now - item.sent_at
+            self.last_first_event_s = now - item.sent_at
         before = self.is_behind
         self.is_behind = health.is_behind(before, item.sent_at, begun, now)
         if self.is_behind != before:
@@ -178,13 +180,13 @@
             )
         return True
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Note a request or connection that the upstream failed."""
         self.health = health.failed(self.health, now)
 
-    def answered(self, now: float) -> None:
+    def record_success(self, now: float) -> None:
         """Note that it answers."""
-        self.heard_at = now
+        self.last_received_at = now
         if self.health.failures:
             self.health = health.Health()
 
--- a/packages/burdockchute-entry/tests/test_retry_budgets.py
+++ b/packages/burdockchute-entry/tests/test_retry_budgets.py
@@ -23,7 +23,7 @@
             now = step / 100
             for budgets in entries:
                 if step % 8 == 0:
-                    budgets.count_first('drafts', now)
+                    budgets.record_first_attempt('drafts', now)
                 if budgets.take('drafts', now):
                     times.append(now)
         firsts_in_window = 6 * 10 * 100 / 8
@@ -46,13 +46,13 @@
         budgets = RetryBudgets(lambda: BOUNDS, lambda: 6)
         while budgets.take('drafts', 0.0):
             pass
-        self.assertTrue(budgets.take('drafts', 0.0, begun=True))
+        self.assertTrue(budgets.take('drafts', 0.0, resuming=True))
 
     def test_one_of_many_entries_may_still_retry_new_requests(self):
         """So many entries share the retries that each has one at a time."""
         budgets = RetryBudgets(lambda: BOUNDS, lambda: 400)
         self.assertTrue(budgets.take('drafts', 0.0))
-        self.assertFalse(budgets.take('drafts', 0.0, begun=True))
+        self.assertFalse(budgets.take('drafts', 0.0, resuming=True))
 
     def test_a_small_share_is_kept_whole_for_begun_streams(self):
         """Fourteen entries share the retries, and a crash used some up.
@@ -61,8 +61,8 @@
         begun can do nothing.
         """
         budgets = RetryBudgets(lambda: BOUNDS, lambda: 14)
-        while budgets.take('drafts', 0.0, begun=True):
+        while budgets.take('drafts', 0.0, resuming=True):
             pass
         while budgets.take('drafts', 6.0):
             pass
-        self.assertTrue(budgets.take('drafts', 6.0, begun=True))
+        self.assertTrue(budgets.take('drafts', 6.0, resuming=True))
--- a/packages/burdockchute-entry/tests/test_slow_links.py
+++ b/packages/burdockchute-entry/tests/test_slow_links.py
@@ -11,8 +11,8 @@
 from burdockchute.model.link_news import ProbeWanted
 from burdockchute.model.upstreams import Endpoint
 from burdockchute_entry.straight.slow_links import SlowLinks
-from burdockchute_entry.straight.targets import Reading
 from burdockchute_entry.straight.targets import Target
+from burdockchute_entry.straight.targets import UnstartedRequest
 from burdockchute_testing.builders.upstreams import upstream
 
 ENTRIES = 14
@@ -61,13 +61,13 @@
                 site.at(site.now + 0.02, lambda o=other: o.hear(message))
 
     def hear(self, event) -> None:
-        self.links.learn(event, self.site.now)
+        self.links.handle_event(event, self.site.now)
 
     def look(self) -> None:
         now = self.site.now
         for target in self.targets:
             target.load.reported_at = now - now % REPORT_S
-        self.links.look(self.targets, now)
+        self.links.check(self.targets, now)
 
     def send(self) -> None:
         """Send a request to each engine that has room."""
@@ -76,7 +76,7 @@
             if target.view(False, now).room <= 0:
                 continue
             name = f'q-{next(self._ids)}'
-            target.reading[name] = Reading(900, now)
+            target.unstarted[name] = UnstartedRequest(900, now)
             agent = str(target.upstream.endpoint)
             if agent == self.site.agent:
                 self.sent_at.append(now)
@@ -88,8 +88,8 @@
             )
 
     def _ended(self, target, name, begun) -> None:
-        if target.read(name, begun, self.site.now):
-            self.links.note_begun('drafts', target.began_in_s)
+        if target.remove_unstarted(name, begun, self.site.now):
+            self.links.record_first_event('drafts', target.last_first_event_s)
 
 
 class Site:
--- a/packages/burdockchute-entry/tests/test_survey.py
+++ b/packages/burdockchute-entry/tests/test_survey.py
@@ -19,10 +19,10 @@
 from burdockchute.model.upstreams import Endpoint
 from burdockchute.wire import messages
 from burdockchute_entry.straight.known_targets import KnownTargets
-from burdockchute_entry.straight.lanes import Place
-from burdockchute_entry.straight.lanes import Placing
-from burdockchute_entry.straight.lanes import Wish
-from burdockchute_entry.straight.placer import Placer
+from burdockchute_entry.straight.scheduler import Scheduler
+from burdockchute_entry.straight.service_queues import PendingRequest
+from burdockchute_entry.straight.service_queues import RequestSpec
+from burdockchute_entry.straight.service_queues import Slot
 from burdockchute_entry.straight.survey import Survey
 from burdockchute_entry.straight.targets import Target
 from burdockchute_testing.builders import requests
@@ -36,7 +36,7 @@
 COST = EngineCost(0.0093, 0.000023, 20_700.0, 5, 950.0, 95.0)
 
 
-def placing(number, prompt=900):
+def pending(number, prompt=900):
     ctx = requests.request(
         request_id=f'q-{number}',
         target='drafts',
@@ -44,7 +44,9 @@
         prompt_tokens=prompt,
         max_tokens=94,
     )
-    return Placing(ctx, Work(1.0, False, prompt, ()), Wish('drafts', '', 0.4))
+    return PendingRequest(
+        ctx, Work(1.0, False, prompt, ()), RequestSpec('drafts', '', 0.4)
+    )
 
 
 def upstreams():
@@ -92,18 +94,18 @@
 
     def test_what_asks_for_more_than_one_in_vain_is_passed_over(self):
         survey = Survey(targets(), view_of, 0.0)
-        survey.found_nothing(placing(1, prompt=900), 0.2)
-        self.assertTrue(survey.is_hopeless(placing(2, prompt=1200), 0.1))
-        self.assertFalse(survey.is_hopeless(placing(3, prompt=300), 0.1))
-        self.assertFalse(survey.is_hopeless(placing(4, prompt=1200), 0.3))
-        self.assertFalse(survey.is_hopeless(placing(5), None))
+        survey.found_nothing(pending(1, prompt=900), 0.2)
+        self.assertTrue(survey.is_hopeless(pending(2, prompt=1200), 0.1))
+        self.assertFalse(survey.is_hopeless(pending(3, prompt=300), 0.1))
+        self.assertFalse(survey.is_hopeless(pending(4, prompt=1200), 0.3))
+        self.assertFalse(survey.is_hopeless(pending(5), None))
 
     def test_one_that_avoids_targets_says_nothing_of_others(self):
         survey = Survey(targets(), view_of, 0.0)
-        choosy = placing(1)
+        choosy = pending(1)
         choosy.avoided.add('i-1')
         survey.found_nothing(choosy, 0.2)
-        self.assertFalse(survey.is_hopeless(placing(2, prompt=1200), 0.1))
+        self.assertFalse(survey.is_hopeless(pending(2, prompt=1200), 0.1))
 
 
 class PlacerTest(unittest.TestCase):
@@ -113,27 +115,29 @@
         Each report starts no round of its own: all that came free is given
         out together a moment later.
         """
-        placer = Placer(BOUNDS, lambda: 0.0, random.Random(1))
+        scheduler = Scheduler(BOUNDS, lambda: 0.0, random.Random(1))
         known = {u.id: Known(u, 0) for u in upstreams()}
-        placer.learn(Beliefs(upstreams=UpstreamList(known, {})))
-        for target in placer.targets():
+        scheduler.update(Beliefs(upstreams=UpstreamList(known, {})))
+        for target in scheduler.targets():
             target.load.reserved_for = 'somebody else'
         waiting = [
-            gevent.spawn(placer.place, placing(number), 6.0)
+            gevent.spawn(scheduler.wait_for_slot, pending(number), 6.0)
             for number in range(8)
         ]
         gevent.sleep(0)
         survey = KnownTargets.survey
         with mock.patch.object(KnownTargets, 'survey', autospec=True) as look:
             look.side_effect = survey
-            for target in placer.targets():
+            for target in scheduler.targets():
                 target.load.reserved_for = ''
                 address = str(target.upstream.endpoint)
-                placer.reported(address, messages.LoadReport(running=0))
+                scheduler.apply_load_report(
+                    address, messages.LoadReport(running=0)
+                )
             look.assert_not_called()
             gevent.joinall(waiting, timeout=5)
             self.assertEqual(1, look.call_count)
-        self.assertTrue(all(place.value.target for place in waiting))
+        self.assertTrue(all(slot.value.target for slot in waiting))
 
     def test_a_long_prompt_gets_the_slot_that_stands_empty(self):
         """Engines have twelve of sixteen slots taken, and prompts come in.
@@ -143,15 +147,15 @@
         would be refused after two seconds beside four empty slots, and with
         most of those who come then it would be the same.
         """
-        placer = Placer(BOUNDS, lambda: 0.0, random.Random(1))
+        scheduler = Scheduler(BOUNDS, lambda: 0.0, random.Random(1))
         known = {u.id: Known(u._replace(slots=16), 0) for u in upstreams()[:6]}
-        placer.learn(Beliefs(upstreams=UpstreamList(known, {})))
-        for target in placer.targets():
+        scheduler.update(Beliefs(upstreams=UpstreamList(known, {})))
+        for target in scheduler.targets():
             target.load.report(12, 16, 1, 0.0, (), 0.0)
             target.load.window = 16
         with cost_is(COST):
-            place = placer.place(placing(1, prompt=3800), 6.0)
-        self.assertIsInstance(place, Place)
+            slot = scheduler.wait_for_slot(pending(1, prompt=3800), 6.0)
+        self.assertIsInstance(slot, Slot)
 
 
 class OverloadTest(unittest.TestCase):
@@ -161,16 +165,16 @@
         Counted as new ones, they alone kept half of each engine closed to
         themselves.
         """
-        placer = Placer(BOUNDS, lambda: 0.0, random.Random(1))
+        scheduler = Scheduler(BOUNDS, lambda: 0.0, random.Random(1))
         known = {u.id: Known(u, 0) for u in upstreams()}
-        placer.learn(Beliefs(upstreams=UpstreamList(known, {})))
+        scheduler.update(Beliefs(upstreams=UpstreamList(known, {})))
         with mock.patch.object(Overload, 'note', autospec=True) as note:
             for number in range(20):
-                returned = placing(number)
-                returned.wish = returned.wish._replace(elapsed_s=1.5)
-                plan = placer.plan(returned, 6.0)
+                returned = pending(number)
+                returned.spec = returned.spec._replace(elapsed_s=1.5)
+                plan = scheduler.plan(returned, 6.0)
                 for stage in plan.stages:
-                    placer.begin_stage(returned, stage, plan.retry_s)
+                    scheduler.start_stage(returned, stage, plan.retry_s)
         self.assertEqual([], note.call_args_list)
 
 
@@ -179,16 +183,16 @@
 
     def setUp(self):
         self.now = 100.0
-        self.placer = Placer(BOUNDS, lambda: self.now, random.Random(1))
+        self.scheduler = Scheduler(BOUNDS, lambda: self.now, random.Random(1))
         known = {u.id: Known(u, 0) for u in upstreams()[:2]}
-        self.placer.learn(Beliefs(upstreams=UpstreamList(known, {})))
+        self.scheduler.update(Beliefs(upstreams=UpstreamList(known, {})))
         patch = cost_is(COST)
         patch.start()
         self.addCleanup(patch.stop)
 
     def report(self, opens_in_ms, digest=None):
         states = [messages.WeightsState(digest=digest)] if digest else []
-        for target in self.placer.targets():
+        for target in self.scheduler.targets():
             report = messages.LoadReport(
                 running=0,
                 slots=SLOTS,
@@ -196,15 +200,17 @@
                 weights=states,
                 opens_in_ms=opens_in_ms,
             )
-            self.placer.reported(str(target.upstream.endpoint), report)
+            self.scheduler.apply_load_report(
+                str(target.upstream.endpoint), report
+            )
 
     def ask(self, number):
-        ctx = placing(number).ctx._replace(
+        ctx = pending(number).ctx._replace(
             arrived=self.now, deadline=self.now + 6.0
         )
-        wish = Wish('drafts', 'story', 0.4)
-        asked = Placing(ctx, Work(1.0, False, 900, ()), wish)
-        return gevent.spawn(self.placer.place, asked, ctx.deadline)
+        spec = RequestSpec('drafts', 'story', 0.4)
+        asked = PendingRequest(ctx, Work(1.0, False, 900, ()), spec)
+        return gevent.spawn(self.scheduler.wait_for_slot, asked, ctx.deadline)
 
     def test_as_many_as_the_engines_can_take_wait_for_them(self):
         """Copies are whole in three seconds; callers have six.
@@ -219,11 +225,11 @@
         refused = self.ask(99)
         gevent.sleep(0.01)
         self.assertEqual(503, refused.value.status)
-        for target in self.placer.targets():
+        for target in self.scheduler.targets():
             target.load.window = SLOTS
         self.report(opens_in_ms=None, digest='story@1')
         gevent.joinall(waiting, timeout=5)
-        self.assertTrue(all(isinstance(w.value, Place) for w in waiting))
+        self.assertTrue(all(isinstance(w.value, Slot) for w in waiting))
 
     def test_who_has_no_time_for_it_hears_so_at_once(self):
         """Copies are whole in five and a half seconds, answers take one.
@@ -246,16 +252,16 @@
 
     def setUp(self):
         self.now = 0.0
-        self.placer = Placer(BOUNDS, lambda: self.now, random.Random(1))
+        self.scheduler = Scheduler(BOUNDS, lambda: self.now, random.Random(1))
         only = upstreams()[0]._replace(slots=1)
         known = UpstreamList({only.id: Known(only, 0)}, {})
-        self.placer.learn(Beliefs(upstreams=known))
-        self.target = self.placer.targets()[0]
+        self.scheduler.update(Beliefs(upstreams=known))
+        self.target = self.scheduler.targets()[0]
 
     def wait(self, number, resuming):
-        item = placing(number)
+        item = pending(number)
         item.resuming = resuming
-        waiting = gevent.spawn(self.placer.place, item, 6.0)
+        waiting = gevent.spawn(self.scheduler.wait_for_slot, item, 6.0)
         self.addCleanup(waiting.kill)
         gevent.sleep(0)
         return waiting
@@ -269,9 +275,9 @@
         new = self.wait(1, resuming=False)
         rest = self.wait(2, resuming=True)
         self.target.load.reserved_for = ''
-        self.placer.fill_all()
+        self.scheduler.assign_free_slots()
         gevent.sleep(0)
-        self.assertIsInstance(rest.value, Place)
+        self.assertIsInstance(rest.value, Slot)
         self.assertFalse(new.ready())
 
     def test_a_rest_waits_for_an_upstream_that_is_left_alone(self):
@@ -279,10 +285,10 @@
 
         A caller who had a part of its answer was told that nobody is there.
         """
-        self.target.failed(self.now)
+        self.target.record_failure(self.now)
         rest = self.wait(1, resuming=True)
         self.assertFalse(rest.ready())
         self.now += 1.0
-        self.placer.fill_all()
+        self.scheduler.assign_free_slots()
         gevent.sleep(0)
-        self.assertIsInstance(rest.value, Place)
+        self.assertIsInstance(rest.value, Slot)
--- a/packages/burdockchute-testing/burdockchute_testing/emulator/site.py
+++ b/packages/burdockchute-testing/burdockchute_testing/emulator/site.py
@@ -27,12 +27,12 @@
 from burdockchute.model.upstreams import Endpoint
 from burdockchute.model.upstreams import Upstream
 from burdockchute.wire import messages
-from burdockchute_entry.straight.lanes import Place
-from burdockchute_entry.straight.lanes import Placing
-from burdockchute_entry.straight.lanes import Wish
-from burdockchute_entry.straight.placer import no_place
-from burdockchute_entry.straight.placer import Placer
-from burdockchute_entry.straight.placer import Plan
+from burdockchute_entry.straight.scheduler import no_slot_in_time
+from burdockchute_entry.straight.scheduler import Plan
+from burdockchute_entry.straight.scheduler import Scheduler
+from burdockchute_entry.straight.service_queues import PendingRequest
+from burdockchute_entry.straight.service_queues import RequestSpec
+from burdockchute_entry.straight.service_queues import Slot
 from burdockchute_testing.builders import requests
 from burdockchute_testing.emulator.clock import Clock
 from burdockchute_testing.emulator.engines import Engine
@@ -175,15 +175,15 @@
 
 
 class _Entry:
-    """One entry: the product's placer, and the calls that wait in it."""
+    """One entry: the product's scheduler, and the calls that wait in it."""
 
     def __init__(self, site: Site) -> None:
         self._site = site
         self._clock = site.clock
         rng = random.Random(site.rng.random())
-        self.placer = Placer(BOUNDS, lambda: site.clock.now, rng)
-        self.placer.learn(_beliefs_of(site.deployment))
-        self._waiting: dict[str, tuple[_Call, Placing, Plan, int]] = {}
+        self.scheduler = Scheduler(BOUNDS, lambda: site.clock.now, rng)
+        self.scheduler.update(_beliefs_of(site.deployment))
+        self._waiting: dict[str, tuple[_Call, PendingRequest, Plan, int]] = {}
         self._clock.after(rng.random() * FILL_S, self._tick)
 
     def told(self, number: int, in_hand: int) -> None:
@@ -195,7 +195,7 @@
             weights=[messages.WeightsState(digest=f'{MODEL}@1')],
             entries=deployment.entries,
         )
-        self.placer.reported(str(_address(number)), report)
+        self.scheduler.apply_load_report(str(_address(number)), report)
         self._clock.after(0.01, self._fill)
 
     def arrive(self, call: _Call) -> None:
@@ -210,73 +210,79 @@
         )
         work = Work(admission.cost_of(ctx), False, ctx.prompt_tokens, ())
         spent_s = returning_callers.spent_s(DEADLINE_S, deadline - now)
-        wish = Wish(SERVICE, MODEL, call.shape.objective_s, spent_s)
-        placing = Placing(ctx, work, wish)
-        plan = self.placer.plan(placing, deadline)
+        spec = RequestSpec(SERVICE, MODEL, call.shape.objective_s, spent_s)
+        pending = PendingRequest(ctx, work, spec)
+        plan = self.scheduler.plan(pending, deadline)
         if isinstance(plan, NotRun):
             self._refuse(call, plan)
             return
-        self._next_stage(call, placing, plan, 0)
+        self._next_stage(call, pending, plan, 0)
 
     def _next_stage(
-        self, call: _Call, placing: Placing, plan: Plan, number: int
+        self, call: _Call, pending: PendingRequest, plan: Plan, number: int
     ) -> None:
         while number < len(plan.stages):
             stage = plan.stages[number]
-            wait_s = self.placer.begin_stage(placing, stage, plan.retry_s)
+            wait_s = self.scheduler.start_stage(pending, stage, plan.retry_s)
             if wait_s is not None:
-                self._waiting[call.name] = (call, placing, plan, number)
+                self._waiting[call.name] = (call, pending, plan, number)
                 self._clock.after(
                     wait_s, functools.partial(self._over, call.name, number)
                 )
                 self._collect()
                 return
             number += 1
-        self.placer.end_wait(placing)
-        waited_s = self._clock.now - placing.ctx.arrived
-        self._refuse(call, no_place(waited_s, plan))
+        self.scheduler.stop_waiting(pending)
+        waited_s = self._clock.now - pending.ctx.arrived
+        self._refuse(call, no_slot_in_time(waited_s, plan))
 
     def _over(self, name: str, number: int) -> None:
         found = self._waiting.get(name)
         if found is None or found[3] != number:
             return
         del self._waiting[name]
-        call, placing, plan, _number = found
+        call, pending, plan, _number = found
         plan.stages[number].queue.remove(name)
-        self._next_stage(call, placing, plan, number + 1)
+        self._next_stage(call, pending, plan, number + 1)
 
     def _collect(self) -> None:
-        for name, (call, placing, _plan, _n) in list(self._waiting.items()):
-            if not placing.place.ready():
+        for name, (call, pending, _plan, _n) in list(self._waiting.items()):
+            if not pending.slot.ready():
                 continue
             del self._waiting[name]
-            self.placer.end_wait(placing)
-            place = placing.place.value
-            if isinstance(place, Place):
-                self._dispatch(call, placing, place)
+            self.scheduler.stop_waiting(pending)
+            slot = pending.slot.value
+            if isinstance(slot, Slot):
+                self._dispatch(call, pending, slot)
             else:
-                self._refuse(call, place)
+                self._refuse(call, slot)
 
-    def _dispatch(self, call: _Call, placing: Placing, place: Place) -> None:
-        number = int(place.target.id.removeprefix('i-'))
+    def _dispatch(
+        self, call: _Call, pending: PendingRequest, slot: Slot
+    ) -> None:
+        number = int(slot.target.id.removeprefix('i-'))
         sent_at = self._clock.now
 
         def begun() -> None:
             now = self._clock.now
             self._site.begins_s.append(now - sent_at)
-            self.placer.began(placing, place)
+            self.scheduler.mark_started(pending, slot)
             on_time = now - call.began <= call.shape.objective_s
             call.outcome = 'on time' if on_time else 'late'
             self._collect()
 
         def ended() -> None:
-            self.placer.answered(placing, place, self._clock.now - sent_at)
+            self.scheduler.mark_answered(
+                pending, slot, self._clock.now - sent_at
+            )
             self._collect()
 
         def arrive() -> None:
             job = Job(call.prompt_tokens, call.answer_tokens, begun, ended)
             if not self._site.engines[number].take(job):
-                self.placer.failed(placing, place, self._clock.now - sent_at)
+                self.scheduler.mark_failed(
+                    pending, slot, self._clock.now - sent_at
+                )
                 self._refuse(call, NotRun('full', 503, 0.1))
 
         self._clock.after(WAY_S, arrive)
@@ -288,7 +294,7 @@
             self._clock.after(wait_s, lambda: self._site.send(call))
 
     def _fill(self) -> None:
-        self.placer.fill_all()
+        self.scheduler.assign_free_slots()
         self._collect()
 
     def _tick(self) -> None:
