--- a/packages/burdockchute-agent/burdockchute_agent/news.py
+++ b/packages/burdockchute-agent/burdockchute_agent/announcements.py
@@ -12,7 +12,7 @@
 GATHER_S = 0.02
 
 
-class News:
+class Announcements:
     """Digests whose state has changed since peers were last told."""
 
     def __init__(self, now: float) -> None:
--- a/packages/burdockchute-agent/burdockchute_agent/bandwidth.py
+++ b/packages/burdockchute-agent/burdockchute_agent/bandwidth.py
@@ -29,14 +29,14 @@
             self._up = copy_rates.refill(self._up, self.send_rate, now)
         self._down = copy_rates.refill(self._down, self.receive_rate, now)
 
-    def may_receive(self, size: int) -> bool:
+    def reserve_downlink(self, size: int) -> bool:
         """Take bytes of the downlink, or tell that none are left."""
         if self._down.level <= 0:
             return False
         self._down = copy_rates.take(self._down, size)
         return True
 
-    def not_received(self, size: int) -> None:
+    def release_downlink(self, size: int) -> None:
         """Give back bytes that were taken for a request that was refused.
 
         Kept, they would leave the link idle for the time of a chunk each.
--- a/packages/burdockchute-agent/burdockchute_agent/cache_news.py
+++ b/packages/burdockchute-agent/burdockchute_agent/cache_changes.py
@@ -14,21 +14,21 @@
 
 # With 134 agents to an entry, 8 prefixes of 20 bytes each 2 s are 11 KB a
 # second at the worst, half of what a node may spend on control.
-MAX_NEWS = 8
-TELL_S = 2.0
+MAX_REPORTED_PREFIXES = 8
+REPORT_INTERVAL_S = 2.0
 
 
-class News(NamedTuple):
+class CacheChanges(NamedTuple):
     """Prefix digests, shortened; those stored last come first."""
 
     stored: list[str]
     evicted: list[str]
 
 
-NO_NEWS = News([], [])
+NO_CACHE_CHANGES = CacheChanges([], [])
 
 
-class CacheNews:
+class PendingCacheChanges:
     """News not yet told; times are monotonic seconds."""
 
     def __init__(self) -> None:
@@ -49,12 +49,12 @@
         self._stored.clear()
         self._evicted.clear()
 
-    def take(self, now: float) -> News:
+    def take(self, now: float) -> CacheChanges:
         """Give the news if it is time to tell, and forget them."""
-        if now < self._told_at + TELL_S:
-            return NO_NEWS
+        if now < self._told_at + REPORT_INTERVAL_S:
+            return NO_CACHE_CHANGES
         self._told_at = now
-        news = News(_newest(self._stored), _newest(self._evicted))
+        news = CacheChanges(_newest(self._stored), _newest(self._evicted))
         self.clear()
         return news
 
@@ -64,7 +64,7 @@
     gone.pop(short, None)
     come.pop(short, None)
     come[short] = None
-    if len(come) > MAX_NEWS:
+    if len(come) > MAX_REPORTED_PREFIXES:
         del come[next(iter(come))]
 
 
--- a/packages/burdockchute-agent/burdockchute_agent/arrivals.py
+++ b/packages/burdockchute-agent/burdockchute_agent/chunk_receiver.py
@@ -13,18 +13,18 @@
 from burdockchute.nodes.peers import PeerLink
 from burdockchute.weights.manifest import Manifest
 from burdockchute.wire import messages
+from burdockchute_agent.announcements import Announcements
 from burdockchute_agent.bandwidth import Bandwidth
+from burdockchute_agent.chunk_sender import ChunkSender
 from burdockchute_agent.copier import Copier
 from burdockchute_agent.copier import SOURCES
-from burdockchute_agent.corruption import Corruption
+from burdockchute_agent.corruption import CorruptChunkCounts
 from burdockchute_agent.events import OriginRead
-from burdockchute_agent.news import News
-from burdockchute_agent.origin_turn import MANIFEST
-from burdockchute_agent.serving import Serving
+from burdockchute_agent.origin_schedule import MANIFEST_INDEX
 from burdockchute_agent.weights_metrics import WeightsMetrics
 
 
-class Arrivals:
+class ChunkReceiver:
     """Checks what arrives and hands it to the copiers of its digest."""
 
     def __init__(
@@ -33,8 +33,8 @@
         links: Mapping[str, PeerLink],
         parse: Callable[[bytes, str], Result],
         bandwidth: Bandwidth,
-        serving: Serving,
-        news: News,
+        serving: ChunkSender,
+        news: Announcements,
         metrics: WeightsMetrics,
     ) -> None:
         self._copiers = copiers
@@ -44,7 +44,7 @@
         self._serving = serving
         self._news = news
         self._metrics = metrics
-        self._corruption = Corruption()
+        self._corruption = CorruptChunkCounts()
 
     def is_banned(self, peer: PeerLink) -> bool:
         """Tell whether a peer has sent too much that was corrupt."""
@@ -56,7 +56,7 @@
             case messages.Have():
                 self._have_came(peer, message, now)
             case messages.ChunkRequest():
-                self._serving.asked(peer, message)
+                self._serving.handle_request(peer, message)
             case messages.Chunk():
                 self._chunk_came(peer, message, now)
 
@@ -71,7 +71,7 @@
             or self._corruption.is_banned(peer)
         ):
             return
-        copier.have_came(peer.name, peer.distance, have, now)
+        copier.have_received(peer.name, peer.distance, have, now)
 
     def _chunk_came(
         self, peer: PeerLink, chunk: messages.Chunk, now: float
@@ -81,13 +81,13 @@
             return
         if chunk.error:
             wait_s = chunk.retry_after_ms / 1000
-            copier.refused(peer.name, chunk.index, wait_s, now)
-            self._bandwidth.not_received(copier.size_of(chunk.index))
-        elif chunk.index == MANIFEST:
+            copier.request_refused(peer.name, chunk.index, wait_s, now)
+            self._bandwidth.release_downlink(copier.size_of(chunk.index))
+        elif chunk.index == MANIFEST_INDEX:
             self._manifest_came(copier, peer, chunk.data, now)
         elif copier.complete:
-            copier.chunk_came(peer.name, chunk.index, chunk.data, now)
-        elif copier.chunk_came(peer.name, chunk.index, chunk.data, now):
+            copier.chunk_received(peer.name, chunk.index, chunk.data, now)
+        elif copier.chunk_received(peer.name, chunk.index, chunk.data, now):
             source = SOURCES[peer.distance]
             self._metrics.received(source, len(chunk.data))
             self._news.chunk(chunk.digest)
@@ -100,8 +100,10 @@
     ) -> None:
         manifest = self._parse(data, copier.digest).value_or(None)
         if manifest is None:
-            copier.refused(peer.name, MANIFEST, sources.MIN_AVOID_S, now)
-            self._corrupt_from(peer, copier.digest, MANIFEST)
+            copier.request_refused(
+                peer.name, MANIFEST_INDEX, sources.MIN_AVOID_S, now
+            )
+            self._corrupt_from(peer, copier.digest, MANIFEST_INDEX)
         else:
             self._have_manifest(copier, manifest, now)
 
@@ -113,14 +115,14 @@
         if isinstance(outcome, Manifest):
             self._have_manifest(copier, outcome, now)
         else:
-            copier.read_lost(MANIFEST, now)
+            copier.origin_read_failed(MANIFEST_INDEX, now)
             self._metrics.failed('origin_read_failed')
             warn('origin_read_failed', digest=digest, reason=outcome)
 
     def _have_manifest(
         self, copier: Copier, manifest: Manifest, now: float
     ) -> None:
-        copier.manifest_came(manifest, now)
+        copier.manifest_received(manifest, now)
         self._news.chunk(copier.digest)
         # What peers hold could not be read without the number of chunks.
         self.take_kept(copier, now)
@@ -130,7 +132,7 @@
         for peer in self._links.values():
             have = peer.haves.get(copier.digest)
             if have is not None and not self._corruption.is_banned(peer):
-                copier.have_came(peer.name, peer.distance, have, now)
+                copier.have_received(peer.name, peer.distance, have, now)
 
     def chunk_read(self, read: OriginRead, now: float) -> None:
         """Take what a read of a chunk from the origin has given."""
@@ -138,7 +140,7 @@
         if copier is None:
             return
         if not isinstance(read.outcome, bytes):
-            copier.read_lost(read.chunk, now)
+            copier.origin_read_failed(read.chunk, now)
             self._metrics.failed('origin_read_failed')
             warn(
                 'origin_read_failed',
@@ -148,7 +150,7 @@
             )
         elif copier.complete:
             return
-        elif copier.read_came(read.chunk, read.outcome, now):
+        elif copier.origin_chunk_received(read.chunk, read.outcome, now):
             self._metrics.received('origin', len(read.outcome))
             self._news.chunk(read.digest)
             self.tell_whole(copier)
@@ -171,7 +173,7 @@
             # again, as it says that it holds all; the copy would crawl.
             warn('peer_banned', peer=peer.name)
             for copier in self._copiers.values():
-                copier.peer_gone(peer.name)
+                copier.peer_disconnected(peer.name)
 
     def tell_whole(self, copier: Copier) -> None:
         """Write a line if a copy has become whole."""
--- a/packages/burdockchute-agent/burdockchute_agent/asking.py
+++ b/packages/burdockchute-agent/burdockchute_agent/chunk_requests.py
@@ -6,14 +6,14 @@
 from typing import NamedTuple
 
 
-class Asked(NamedTuple):
+class ChunkRequestSent(NamedTuple):
     """One request that is on its way."""
 
     peer: str
     at: float
 
 
-class Peer:
+class PeerCopy:
     """What is known of one peer's copy of some weights.
 
     `held` is a bitmap of chunks, `load` its queue of uploads, `asked` how
@@ -30,11 +30,11 @@
         self.avoid_until = 0.0
 
 
-class Asks:
+class PendingChunkRequests:
     """Requests on their way, by chunk; a chunk may be asked for twice."""
 
     def __init__(self) -> None:
-        self._by_chunk: dict[int, list[Asked]] = {}
+        self._by_chunk: dict[int, list[ChunkRequestSent]] = {}
 
     def __len__(self) -> int:
         return len(self._by_chunk)
@@ -45,15 +45,17 @@
     def __iter__(self) -> Iterator[int]:
         return iter(self._by_chunk)
 
-    def of(self, chunk: int) -> list[Asked]:
+    def of(self, chunk: int) -> list[ChunkRequestSent]:
         """Give the requests for a chunk."""
         return list(self._by_chunk.get(chunk, ()))
 
     def add(self, chunk: int, peer: str, now: float) -> None:
         """Note a request."""
-        self._by_chunk.setdefault(chunk, []).append(Asked(peer, now))
+        self._by_chunk.setdefault(chunk, []).append(
+            ChunkRequestSent(peer, now)
+        )
 
-    def remove(self, chunk: int, peer: str) -> Asked | None:
+    def remove(self, chunk: int, peer: str) -> ChunkRequestSent | None:
         """Forget a request and give it, None if there was none."""
         asked = self._by_chunk.get(chunk, [])
         for ask in asked:
--- a/packages/burdockchute-agent/burdockchute_agent/serving.py
+++ b/packages/burdockchute-agent/burdockchute_agent/chunk_sender.py
@@ -10,9 +10,9 @@
 from burdockchute.weights.manifest import document_of
 from burdockchute.wire import messages
 from burdockchute_agent.bandwidth import Bandwidth
-from burdockchute_agent.origin_turn import MANIFEST
-from burdockchute_agent.uploads import Upload
-from burdockchute_agent.uploads import Uploads
+from burdockchute_agent.origin_schedule import MANIFEST_INDEX
+from burdockchute_agent.upload_queue import Upload
+from burdockchute_agent.upload_queue import UploadQueue
 from burdockchute_agent.weights_metrics import WeightsMetrics
 
 # A peer that reads slower than it asks has this much waiting in its link.
@@ -21,10 +21,10 @@
 
 # On paced links this much may wait to be written, over all peers: the next
 # chunk then follows without a gap, and no chunk waits long behind others.
-PACED_BYTES = 64 * 1024
+MAX_PACED_QUEUE_BYTES = 64 * 1024
 
 
-class Serving:
+class ChunkSender:
     """The uploads of all copies, within what the uplink allows."""
 
     def __init__(
@@ -40,18 +40,20 @@
         self._copy_of = copy_of
         self._bandwidth = bandwidth
         self._metrics = metrics
-        self._uploads = Uploads()
+        self._uploads = UploadQueue()
 
     def __len__(self) -> int:
         return len(self._uploads)
 
-    def asked(self, peer: PeerLink, request: messages.ChunkRequest) -> None:
+    def handle_request(
+        self, peer: PeerLink, request: messages.ChunkRequest
+    ) -> None:
         """Queue a chunk for a peer, or say why not."""
         digest, index = request.digest, request.index
         copy = self._copy_of(digest)
-        if copy is None or (index != MANIFEST and not copy.holds(index)):
+        if copy is None or (index != MANIFEST_INDEX and not copy.holds(index)):
             peer.send(_refusal(digest, index, 'unknown', RETRY_MS))
-        elif index == MANIFEST:
+        elif index == MANIFEST_INDEX:
             document = document_of(copy.manifest)
             peer.send(messages.Chunk(digest, index, document, '', 0))
         elif not self._uploads.add(Upload(peer.name, digest, index)):
@@ -81,7 +83,7 @@
             for peer in self._links.values()
             if not peer.link.is_slow(now)
         )
-        return queued < PACED_BYTES
+        return queued < MAX_PACED_QUEUE_BYTES
 
     def forget_peer(self, name: str) -> None:
         """Drop what a peer that is gone has asked for."""
--- a/packages/burdockchute-agent/burdockchute_agent/copier.py
+++ b/packages/burdockchute-agent/burdockchute_agent/copier.py
@@ -1,7 +1,7 @@
 """One copy in the making: what is held, asked for and from whom.
 
 It has no socket and reads no clock: it is told what arrives, and `plan_reads`
-and `plan_asks` give the requests to make now.
+and `plan_requests` give the requests to make now.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from burdockchute.weights.manifest import chunk_bytes
 from burdockchute.weights.manifest import Manifest
 from burdockchute.wire import messages
-from burdockchute_agent.asking import Asks
-from burdockchute_agent.asking import Peer
-from burdockchute_agent.imports import Imports
-from burdockchute_agent.origin_turn import MANIFEST
-from burdockchute_agent.origin_turn import OriginTurn
+from burdockchute_agent.chunk_requests import PeerCopy
+from burdockchute_agent.chunk_requests import PendingChunkRequests
+from burdockchute_agent.origin_schedule import MANIFEST_INDEX
+from burdockchute_agent.origin_schedule import OriginSchedule
+from burdockchute_agent.region_imports import RegionImports
 
 # Names of the distances of peers, nearest first.
 SOURCES = ('zone', 'region', 'elsewhere')
@@ -39,12 +39,12 @@
 # stand in the queue before this instance's link, and with it the requests
 # for its upstream. So much of it keeps the link busy and delays a request by
 # no more than some tenths of a second.
-PACED_ASKED_IN_ALL = 4
-PACED_READS_AT_ONCE = 1
+PACED_MAX_REQUESTS = 4
+PACED_MAX_READS = 1
 ASKED_BESIDE_READS = 1
 
 
-class AskPeer(NamedTuple):
+class RequestChunk(NamedTuple):
     """Send a ChunkRequest."""
 
     peer: str
@@ -57,7 +57,7 @@
     chunk: int
 
 
-Action = AskPeer | ReadOrigin
+Action = RequestChunk | ReadOrigin
 
 
 class Received(NamedTuple):
@@ -96,15 +96,15 @@
         now: float,
     ) -> None:
         self.digest = digest
-        self.turn = OriginTurn(rng, now)
-        self.turn.origin_copies = origin_copies
+        self.origin_schedule = OriginSchedule(rng, now)
+        self.origin_schedule.origin_copies = origin_copies
         self.copy: Copy | None = None
-        self.peers: dict[str, Peer] = {}
+        self.peers: dict[str, PeerCopy] = {}
         self.whole_at: float | None = None
         self.received = Received()
-        self.imports = Imports()
-        self.asked_in_all = ASKED_IN_ALL
-        self.reads_at_once = READS_AT_ONCE
+        self.imports = RegionImports()
+        self.max_requests = ASKED_IN_ALL
+        self.max_reads = READS_AT_ONCE
         # Whether the fleet reads few chunks of the origin at a time.
         self.reads_in_order = False
         self._choose = choose
@@ -113,7 +113,7 @@
         self._missing = 0
         self._near = 0
         self._holders: list[int] = []
-        self._asked = Asks()
+        self._asked = PendingChunkRequests()
         self._reading: dict[int, float] = {}
         self._read_s = 0.0
         # When each chunk could first be read, where they are read in order.
@@ -122,23 +122,23 @@
 
     # What arrives.
 
-    def manifest_came(self, manifest: Manifest, now: float) -> None:
+    def manifest_received(self, manifest: Manifest, now: float) -> None:
         """Take a manifest that was checked against the digest."""
-        self._reading.pop(MANIFEST, None)
-        self._asked.forget_chunk(MANIFEST)
+        self._reading.pop(MANIFEST_INDEX, None)
+        self._asked.forget_chunk(MANIFEST_INDEX)
         if self.copy is not None:
             return
-        self.turn.manifest_came(now)
+        self.origin_schedule.manifest_received(now)
         self.copy = Copy(manifest)
         count = len(manifest.chunks)
         self._all = self._missing = (1 << count) - 1
         self._holders = [0] * count
 
-    def have_came(
+    def have_received(
         self, name: str, distance: int, have: messages.Have, now: float
     ) -> None:
         """Take a peer's news of its copy."""
-        peer = self.peers.setdefault(name, Peer(distance))
+        peer = self.peers.setdefault(name, PeerCopy(distance))
         peer.distance = distance
         peer.has_manifest = bool(have.bitmap)
         peer.load = have.uploads
@@ -149,13 +149,13 @@
             self._holders[chunk] -= 1
         peer.held = held
         if distance == ELSEWHERE:
-            self.imports.seen(held & self._missing, now)
+            self.imports.note_remote_chunks(held & self._missing, now)
         fresh = held & ~self._near
         if fresh:
             self._near |= fresh
-            self.turn.turned_up(fresh.bit_count(), now)
+            self.origin_schedule.chunks_found(fresh.bit_count(), now)
 
-    def peer_gone(self, name: str) -> None:
+    def peer_disconnected(self, name: str) -> None:
         """Forget a peer whose link has closed, and what it was asked."""
         peer = self.peers.pop(name, None)
         if peer is None:
@@ -165,7 +165,7 @@
         for chunk in list(self._asked):
             self._unask(chunk, name)
 
-    def chunk_came(
+    def chunk_received(
         self, name: str, chunk: int, data: bytes, now: float
     ) -> bool:
         """Take a chunk from a peer; False if it is corrupt."""
@@ -187,7 +187,7 @@
         self._got(chunk, now)
         return True
 
-    def refused(
+    def request_refused(
         self, name: str, chunk: int, retry_after_s: float, now: float
     ) -> None:
         """Note that a peer will not send a chunk now."""
@@ -196,22 +196,24 @@
         if peer is not None:
             peer.avoid_until = max(peer.avoid_until, now + retry_after_s)
 
-    def read_came(self, chunk: int, data: bytes, now: float) -> bool:
+    def origin_chunk_received(
+        self, chunk: int, data: bytes, now: float
+    ) -> bool:
         """Take a chunk from the origin; False if it is corrupt."""
         began = self._reading.pop(chunk, now)
         self._read_s = sources.smooth(self._read_s, now - began)
         if self.copy is None or self.copy.holds(chunk):
             return True
         if not self.copy.add(chunk, data):
-            self.turn.read_failed(now)
+            self.origin_schedule.read_failed(now)
             return False
-        self.turn.read_worked(now)
+        self.origin_schedule.read_worked(now)
         origin = self.received.origin + len(data)
         self.received = self.received._replace(origin=origin)
         self._got(chunk, now)
         return True
 
-    def found_here(self, chunk: int, data: bytes, now: float) -> bool:
+    def add_local_chunk(self, chunk: int, data: bytes, now: float) -> bool:
         """Take a chunk that lay on the own machine; False if spoilt."""
         if self.copy is None or self.copy.holds(chunk):
             return True
@@ -220,12 +222,12 @@
         self._got(chunk, now)
         return True
 
-    def read_lost(self, chunk: int, now: float) -> None:
+    def origin_read_failed(self, chunk: int, now: float) -> None:
         """Note that a read from the origin has failed."""
         self._reading.pop(chunk, None)
         # It fails for the other readers too, so none of them is gone.
         self._open_since.clear()
-        self.turn.read_failed(now)
+        self.origin_schedule.read_failed(now)
 
     # What to do.
 
@@ -272,18 +274,18 @@
             known |= peer.held
         return known
 
-    def heard(self, names: set[str]) -> None:
+    def set_expected_peers(self, names: set[str]) -> None:
         """Note which peers there are.
 
         Once all have told what they hold, there is nothing more to wait for
         before the origin is read.
         """
         if names and names <= self.peers.keys():
-            self.turn.heard_all()
+            self.origin_schedule.heard_all()
 
     def size_of(self, chunk: int) -> int:
         """Give the bytes of a chunk, 0 where that isn't known."""
-        if self.copy is None or chunk == MANIFEST:
+        if self.copy is None or chunk == MANIFEST_INDEX:
             return 0
         return chunk_bytes(self.copy.manifest, chunk)
 
@@ -308,7 +310,7 @@
         self._plan_reads(actions, now, may_take)
         return actions
 
-    def plan_asks(
+    def plan_requests(
         self, now: float, may_take: Callable[[int], bool]
     ) -> list[Action]:
         """Give the requests to peers to make now, as `plan_reads` does."""
@@ -320,20 +322,24 @@
         return actions
 
     def _plan_manifest(self, now: float) -> list[Action]:
-        if MANIFEST not in self._asked:
+        if MANIFEST_INDEX not in self._asked:
             names = [
                 name
                 for name, peer in self.peers.items()
                 if peer.has_manifest and peer.avoid_until <= now
             ]
             if names:
-                return [self._ask(self._rng.choice(names), MANIFEST, now)]
+                return [
+                    self._ask(self._rng.choice(names), MANIFEST_INDEX, now)
+                ]
         if len(self._asked) or self._reading:
             return []
-        if not self.turn.may_read(now) or not self.turn.is_due(MANIFEST, now):
+        if not self.origin_schedule.may_read(
+            now
+        ) or not self.origin_schedule.is_due(MANIFEST_INDEX, now):
             return []
-        self._reading[MANIFEST] = now
-        return [ReadOrigin(MANIFEST)]
+        self._reading[MANIFEST_INDEX] = now
+        return [ReadOrigin(MANIFEST_INDEX)]
 
     def _plan_reads(
         self,
@@ -341,18 +347,18 @@
         now: float,
         may_take: Callable[[int], bool],
     ) -> None:
-        if len(self._reading) >= self.reads_at_once or not self.turn.may_read(
-            now
-        ):
+        if len(
+            self._reading
+        ) >= self.max_reads or not self.origin_schedule.may_read(now):
             return
         unseen = self._missing & ~self._reachable(now) & ~self._pending()
         due = [
-            (self.turn.rank(chunk), self._order(chunk), chunk)
+            (self.origin_schedule.rank(chunk), self._order(chunk), chunk)
             for chunk in bits(unseen & self._open_chunks(now))
             if self._is_due(chunk, now)
         ]
         for _rank, _lot, chunk in sorted(due):
-            if len(self._reading) >= self.reads_at_once:
+            if len(self._reading) >= self.max_reads:
                 return
             if not may_take(self.size_of(chunk)):
                 return
@@ -372,7 +378,10 @@
         """
         if not self.reads_in_order:
             return self._all
-        last = self._known().bit_length() + self.turn.chunks_at_once(now)
+        last = (
+            self._known().bit_length()
+            + self.origin_schedule.chunks_at_once(now)
+        )
         found = self._all & ((1 << last) - 1)
         for chunk in bits(found & ~self._known()):
             self._open_since.setdefault(chunk, now)
@@ -380,10 +389,10 @@
 
     def _is_due(self, chunk: int, now: float) -> bool:
         if not self.reads_in_order or chunk not in self._open_since:
-            return self.turn.is_due(chunk, now)
-        rank = self.turn.rank(chunk)
+            return self.origin_schedule.is_due(chunk, now)
+        rank = self.origin_schedule.rank(chunk)
         if rank == 0:
-            return self.turn.is_due(chunk, now)
+            return self.origin_schedule.is_due(chunk, now)
         read_s = max(
             [self._read_s, *(now - began for began in self._reading.values())]
         )
@@ -404,7 +413,7 @@
         """
         wanted = self._missing & ~self._pending() & ~self._held_near()
         chosen = list(bits(self.imports.own_share(wanted, now)))
-        while chosen and len(self._reading) < self.reads_at_once:
+        while chosen and len(self._reading) < self.max_reads:
             chunk = chosen.pop(self._rng.randrange(len(chosen)))
             if not may_take(self.size_of(chunk)):
                 return
@@ -421,7 +430,7 @@
         # would take the downlink from it.
         reads_first = self.reads_in_order and not self.knows_all()
         most = ASKED_BESIDE_READS if reads_first and self._reading else None
-        while len(self._asked) < (most or self.asked_in_all) and may_take(0):
+        while len(self._asked) < (most or self.max_requests) and may_take(0):
             wanted = self._missing & ~self._pending()
             offers = self._offers(wanted, now)
             # What this agent is to bring over for its region goes before
@@ -467,7 +476,7 @@
             actions.append(self._ask(peer, chunk, now))
 
     def _offers(self, wanted: int, now: float) -> list[Offer]:
-        allowed = self.imports.allowed(wanted, now)
+        allowed = self.imports.importable(wanted, now)
         return [
             Offer(
                 name,
@@ -480,10 +489,10 @@
             if peer.asked < ASKED_OF_ONE and peer.avoid_until <= now
         ]
 
-    def _ask(self, name: str, chunk: int, now: float) -> AskPeer:
+    def _ask(self, name: str, chunk: int, now: float) -> RequestChunk:
         self._asked.add(chunk, name, now)
         self.peers[name].asked += 1
-        return AskPeer(name, chunk)
+        return RequestChunk(name, chunk)
 
     def _unask(self, chunk: int, name: str) -> float | None:
         ask = self._asked.remove(chunk, name)
@@ -532,7 +541,7 @@
         self._missing &= ~(1 << chunk)
         if not self._near >> chunk & 1:
             self._near |= 1 << chunk
-            self.turn.turned_up(1, now)
+            self.origin_schedule.chunks_found(1, now)
         if self.complete:
             self.whole_at = now
 
--- a/packages/burdockchute-agent/burdockchute_agent/copying.py
+++ b/packages/burdockchute-agent/burdockchute_agent/copy_manager.py
@@ -21,34 +21,36 @@
 from burdockchute.weights.copies import Copy
 from burdockchute.weights.manifest import Manifest
 from burdockchute.wire import messages
-from burdockchute_agent.arrivals import Arrivals
+from burdockchute_agent.announcements import Announcements
 from burdockchute_agent.bandwidth import Bandwidth
+from burdockchute_agent.chunk_receiver import ChunkReceiver
+from burdockchute_agent.chunk_sender import ChunkSender
 from burdockchute_agent.copier import Action
-from burdockchute_agent.copier import AskPeer
 from burdockchute_agent.copier import Copier
-from burdockchute_agent.copier import PACED_ASKED_IN_ALL
-from burdockchute_agent.copier import PACED_READS_AT_ONCE
+from burdockchute_agent.copier import PACED_MAX_READS
+from burdockchute_agent.copier import PACED_MAX_REQUESTS
+from burdockchute_agent.copier import RequestChunk
 from burdockchute_agent.events import ManifestRead
 from burdockchute_agent.events import OriginRead
 from burdockchute_agent.hosting_plan import Target
-from burdockchute_agent.news import News
 from burdockchute_agent.origin_reads import OriginClient
 from burdockchute_agent.origin_reads import OriginReads
 from burdockchute_agent.policy import Policy
-from burdockchute_agent.serving import Serving
 from burdockchute_agent.weights_metrics import WeightsMetrics
 
 IDLE_S = 0.05
 
 
-def reading(going: Sequence[Copier]) -> list[Copier]:
+def copies_reading_origin(going: Sequence[Copier]) -> list[Copier]:
     """Give the copies that may read the origin, of those in their order.
 
     One at a time, since the origin may fail with neither of two whole. One of
     which half is out goes first: its rest is out in little time, and agents
     can finish it by themselves then. A copy whose reads fail holds up none.
     """
-    unread = [c for c in going if not c.knows_all() and not c.turn.fails]
+    unread = [
+        c for c in going if not c.knows_all() and not c.origin_schedule.fails
+    ]
     half_out = [c for c in unread if c.is_half_known()]
     if half_out:
         return half_out[:1]
@@ -56,7 +58,9 @@
     return list(going[: last + 1])
 
 
-def asking(going: Sequence[Copier], now: float) -> list[Copier]:
+def copies_requesting_chunks(
+    going: Sequence[Copier], now: float
+) -> list[Copier]:
     """Give the copies that may ask peers, of those in their order.
 
     What is asked for a later one takes of the uplinks that the earlier one
@@ -68,20 +72,20 @@
     return list(going)
 
 
-class Source(NamedTuple):
+class WeightsSource(NamedTuple):
     """Where weights come from first, and how peers' manifests are read."""
 
     open_origin: Callable[[], OriginClient]
     parse_manifest: Callable[[bytes, str], Result]
 
 
-class Copying:
+class CopyManager:
     """Copies by digest, the peers, and what goes to and fro."""
 
     def __init__(
         self,
         own: Member,
-        source: Source,
+        source: WeightsSource,
         bandwidth: Bandwidth,
         peers: Peers,
         inbox: queue.Queue,
@@ -92,7 +96,7 @@
     ) -> None:
         # Copies of which no chunk is asked for yet: the own machine may hold
         # them, and is looked through first.
-        self.held_back: set[str] = set()
+        self.awaiting_local_scan: set[str] = set()
         self.reads = OriginReads(source.open_origin, inbox.put)
         self._own = own
         self._bandwidth = bandwidth
@@ -101,15 +105,15 @@
         self._rng = rng
         self._copiers: dict[str, Copier] = {}
         self._hosts: Mapping[str, tuple[str, ...]] = {}
-        self._news = News(now)
+        self._news = Announcements(now)
         self._unreachable: frozenset[str] = frozenset()
         self._order: tuple[str, ...] = ()
         self._paced = paced
         metrics = WeightsMetrics()
-        self._serving = Serving(
+        self._serving = ChunkSender(
             peers.links, self.copy_of, bandwidth, metrics, paced
         )
-        self._arrivals = Arrivals(
+        self._arrivals = ChunkReceiver(
             self._copiers,
             peers.links,
             source.parse_manifest,
@@ -128,12 +132,12 @@
         """Count bytes of live requests on this instance's link."""
         self._bandwidth.note_live(count, now)
 
-    def whole_copy(self, digest: str) -> Copy | None:
+    def complete_copy(self, digest: str) -> Copy | None:
         """Give a copy if every chunk of it is held and verified."""
         copier = self._copiers.get(digest)
         return copier.copy if copier is not None and copier.complete else None
 
-    def whole_since(self, digest: str) -> float | None:
+    def completed_at(self, digest: str) -> float | None:
         """Give when a copy became whole."""
         copier = self._copiers.get(digest)
         return copier.whole_at if copier is not None else None
@@ -158,7 +162,7 @@
         size = self.size_of(digest)
         return size / self._bandwidth.receive_rate if size else float('inf')
 
-    def log_standing(self) -> None:
+    def log_progress(self) -> None:
         """Write a line on each copy that is not whole."""
         for digest, copier in self._copiers.items():
             if not copier.complete:
@@ -175,18 +179,20 @@
         copies = [copier.copy for copier in self._copiers.values()]
         return sum(copy.held_bytes for copy in copies if copy)
 
-    def is_open_at(self, name: str, digest: str) -> bool:
+    def is_served_by(self, name: str, digest: str) -> bool:
         """Tell whether a peer has said that it serves a digest."""
         peer = self._peers.links.get(name)
         have = peer.haves.get(digest) if peer else None
         return have is not None and bool(have.open)
 
-    def set_phase(self, digest: str, loading: bool, is_open: bool) -> None:
+    def set_engine_phase(
+        self, digest: str, loading: bool, is_open: bool
+    ) -> None:
         """Tell peers whether the engine loads or serves a digest."""
         if digest in self._copiers:
             self._news.phase(digest, loading, is_open)
 
-    def want(
+    def set_targets(
         self,
         targets: Sequence[Target],
         hosts: Mapping[str, tuple[str, ...]],
@@ -210,9 +216,9 @@
             if digest not in self._copiers:
                 self._begin(target, now)
             copier = self._copiers[digest]
-            copier.turn.origin_copies = target.origin_copies
+            copier.origin_schedule.origin_copies = target.origin_copies
             if importers is not None:
-                copier.imports.share_among(
+                copier.imports.set_importers(
                     self._own.name, importers.get(digest, ())
                 )
             self._set_readers(digest)
@@ -227,20 +233,20 @@
         copy = self.copy_of(digest)
         return copy.manifest if copy else None
 
-    def found_here(
+    def add_local_chunk(
         self, digest: str, index: int, data: bytes, now: float
     ) -> bool:
         """Take a chunk that lay on the own machine; False if it is spoilt."""
         copier = self._copiers.get(digest)
         if copier is None or copier.complete:
             return True
-        if not copier.found_here(index, data, now):
+        if not copier.add_local_chunk(index, data, now):
             return False
         self._news.chunk(digest)
         self._arrivals.tell_whole(copier)
         return True
 
-    def missing(self, digest: str) -> list[int]:
+    def missing_chunks(self, digest: str) -> list[int]:
         """Give the chunks that a wanted copy still lacks."""
         copy = self.copy_of(digest)
         if copy is None:
@@ -284,7 +290,7 @@
         if name is not None:
             self._serving.forget_peer(name)
             for copier in self._copiers.values():
-                copier.peer_gone(name)
+                copier.peer_disconnected(name)
 
     # What to do.
 
@@ -299,19 +305,27 @@
             copier = self._copiers[digest]
             if copier.complete:
                 continue
-            if copier.turn.stood_still:
-                copier.turn.stood_still = False
+            if copier.origin_schedule.stood_still:
+                copier.origin_schedule.stood_still = False
                 self._peers.dial_again()
-            copier.heard(self._expected_peers(copier.digest))
-            if copier.copy is not None and digest in self.held_back:
+            copier.set_expected_peers(self._expected_peers(copier.digest))
+            if copier.copy is not None and digest in self.awaiting_local_scan:
                 continue
             going.append(copier)
         # Copies of unlike rows have nothing to do with each other.
-        for copier in reading(going) if self._paced else reversed(going):
-            for action in copier.plan_reads(now, self._bandwidth.may_receive):
+        for copier in (
+            copies_reading_origin(going) if self._paced else reversed(going)
+        ):
+            for action in copier.plan_reads(
+                now, self._bandwidth.reserve_downlink
+            ):
                 self._do(copier, action)
-        for copier in asking(going, now) if self._paced else going:
-            for action in copier.plan_asks(now, self._bandwidth.may_receive):
+        for copier in (
+            copies_requesting_chunks(going, now) if self._paced else going
+        ):
+            for action in copier.plan_requests(
+                now, self._bandwidth.reserve_downlink
+            ):
                 self._do(copier, action)
         upload_s = self._serving.send_due(now)
         peers = self._peers.links.values()
@@ -320,7 +334,7 @@
         return min(wait_s for wait_s in due if wait_s is not None)
 
     def _do(self, copier: Copier, action: Action) -> None:
-        if isinstance(action, AskPeer):
+        if isinstance(action, RequestChunk):
             peer = self._peers.links.get(action.peer)
             request = messages.ChunkRequest(copier.digest, action.chunk)
             if peer is not None:
@@ -351,10 +365,10 @@
             now,
         )
         if self._paced:
-            copier.asked_in_all = PACED_ASKED_IN_ALL
-            copier.reads_at_once = PACED_READS_AT_ONCE
+            copier.max_requests = PACED_MAX_REQUESTS
+            copier.max_reads = PACED_MAX_READS
             copier.reads_in_order = True
-            copier.turn.max_backoff_s = sources.HASTY_BACKOFF_S
+            copier.origin_schedule.max_backoff_s = sources.HASTY_BACKOFF_S
         self._copiers[target.digest] = copier
         self._news.chunk(target.digest)
         event('copy_began', digest=target.digest)
@@ -382,7 +396,7 @@
     def _set_readers(self, digest: str) -> None:
         hosts = self._hosts.get(digest, ())
         readers = self._policy.readers(digest, self._own.name, hosts)
-        self._copiers[digest].turn.set_readers(
+        self._copiers[digest].origin_schedule.set_readers(
             readers._replace(absent=self._unreachable)
         )
 
--- a/packages/burdockchute-agent/burdockchute_agent/corruption.py
+++ b/packages/burdockchute-agent/burdockchute_agent/corruption.py
@@ -6,7 +6,7 @@
 from burdockchute.nodes.peers import PeerLink
 
 
-class Corruption:
+class CorruptChunkCounts:
     """Counts for each start of each peer: a restart may mend it."""
 
     def __init__(self) -> None:
--- a/packages/burdockchute-agent/burdockchute_agent/origin_reads.py
+++ b/packages/burdockchute-agent/burdockchute_agent/origin_reads.py
@@ -24,7 +24,7 @@
 from burdockchute.weights.manifest import Manifest
 from burdockchute_agent.events import ManifestRead
 from burdockchute_agent.events import OriginRead
-from burdockchute_agent.origin_turn import MANIFEST
+from burdockchute_agent.origin_schedule import MANIFEST_INDEX
 
 MAX_IDLE_CLIENTS = 4
 
@@ -69,7 +69,7 @@
 
     def read_manifest(self, digest: str) -> None:
         """Start to read a manifest unless that is already going on."""
-        self._start(_Read(digest, MANIFEST), self._manifest, digest)
+        self._start(_Read(digest, MANIFEST_INDEX), self._manifest, digest)
 
     def read_chunk(self, manifest: Manifest, index: int) -> None:
         """Start to read a chunk unless that is already going on."""
--- a/packages/burdockchute-agent/burdockchute_agent/origin_turn.py
+++ b/packages/burdockchute-agent/burdockchute_agent/origin_schedule.py
@@ -9,14 +9,14 @@
 from burdockchute.decisions.sources import Readers
 
 # In a request or a reply this stands for the manifest itself.
-MANIFEST = -1
+MANIFEST_INDEX = -1
 # A manifest is small and everyone waits for it.
 MANIFEST_READERS = 2
 # No manifest for so long means that neither store nor peers could be reached.
 STOOD_STILL_S = 2.0
 
 
-class OriginTurn:
+class OriginSchedule:
     """The order of readers, how new chunks turn up, and failed reads.
 
     `stood_still` becomes true when a copy goes on that nobody could feed;
@@ -46,7 +46,7 @@
         """Note that every peer has told what it holds."""
         self._heard_all = True
 
-    def manifest_came(self, now: float) -> None:
+    def manifest_received(self, now: float) -> None:
         """Note that chunks may now be read."""
         if self._failures or now - self._began > STOOD_STILL_S:
             self._begin_again(now)
@@ -66,7 +66,7 @@
         self._not_before = now + wait
         self._progress = self._progress._replace(last=now)
 
-    def turned_up(self, count: int, now: float) -> None:
+    def chunks_found(self, count: int, now: float) -> None:
         """Note that so many chunks unknown so far are held near here."""
         gap = (now - self._progress.last) / count
         gap = sources.smooth(self._progress.gap, gap)
@@ -99,7 +99,7 @@
     def is_due(self, chunk: int, now: float) -> bool:
         """Tell whether a chunk that no neighbour has may be read."""
         copies = MANIFEST_READERS
-        if chunk != MANIFEST:
+        if chunk != MANIFEST_INDEX:
             copies = sources.copies_of(self.origin_copies, chunk)
         began = self._began
         if self._heard_all:
--- a/packages/burdockchute-agent/burdockchute_agent/policy.py
+++ b/packages/burdockchute-agent/burdockchute_agent/policy.py
@@ -29,7 +29,7 @@
     choose: Choose
 
 
-DEFAULT = Policy(
+DEFAULT_POLICY = Policy(
     neighbours=neighbours.neighbours,
     readers=sources.readers,
     choose=chunks.rarest_from_least_loaded,
--- a/packages/burdockchute-agent/burdockchute_agent/imports.py
+++ b/packages/burdockchute-agent/burdockchute_agent/region_imports.py
@@ -9,7 +9,7 @@
 from burdockchute.decisions.sources import Readers
 
 
-class Imports:
+class RegionImports:
     """The shares of the agents of one region in the chunks of one copy."""
 
     def __init__(self) -> None:
@@ -17,19 +17,19 @@
         self._ranks: dict[int, int] = {}
         self._seen_at: dict[int, float] = {}
 
-    def share_among(self, own: str, names: Iterable[str]) -> None:
+    def set_importers(self, own: str, names: Iterable[str]) -> None:
         """Take who is in the own region."""
         readers = Readers(own, tuple(names), 0)
         if readers != self._readers:
             self._readers = readers
             self._ranks.clear()
 
-    def seen(self, chunks: int, now: float) -> None:
+    def note_remote_chunks(self, chunks: int, now: float) -> None:
         """Note chunks that are held in another region."""
         for chunk in bits(chunks):
             self._seen_at.setdefault(chunk, now)
 
-    def allowed(self, wanted: int, now: float) -> int:
+    def importable(self, wanted: int, now: float) -> int:
         """Give those of the wanted chunks that may come from elsewhere."""
         if self._readers is None:
             return wanted
@@ -48,7 +48,7 @@
             return 0
         return sum(
             1 << chunk
-            for chunk in bits(self.allowed(wanted, now))
+            for chunk in bits(self.importable(wanted, now))
             if self._rank(chunk) == 0
         )
 
--- a/packages/burdockchute-agent/burdockchute_agent/reports.py
+++ b/packages/burdockchute-agent/burdockchute_agent/reports.py
@@ -20,9 +20,9 @@
 from burdockchute import logs
 from burdockchute.nodes import links
 from burdockchute.wire import messages
-from burdockchute_agent.cache_news import CacheNews
-from burdockchute_agent.cache_news import News
-from burdockchute_agent.cache_news import NO_NEWS
+from burdockchute_agent.cache_changes import CacheChanges
+from burdockchute_agent.cache_changes import NO_CACHE_CHANGES
+from burdockchute_agent.cache_changes import PendingCacheChanges
 from burdockchute_agent.runner import Runner
 from burdockchute_agent.settings import Settings
 from burdockchute_agent.weights_task import WeightsTask
@@ -72,7 +72,7 @@
         self._links: dict[links.Link, None] = {}
         self._load = UpstreamLoad()
         self._misses = 0
-        self._cache = CacheNews()
+        self._cache = PendingCacheChanges()
         self._next_event = 0
         self._sent: tuple = ()
         self._sent_at = 0.0
@@ -89,7 +89,7 @@
     def opened(self, link: links.Link) -> None:
         """Tell a new entry at once."""
         self._links[link] = None
-        self._send_to(link, self.report(NO_NEWS))
+        self._send_to(link, self.report(NO_CACHE_CHANGES))
 
     def closed(self, link: links.Link) -> None:
         """Stop telling an entry."""
@@ -105,7 +105,7 @@
         for link in list(self._links):
             self._send_to(link, report)
 
-    def report(self, news: News) -> messages.LoadReport:
+    def report(self, news: CacheChanges) -> messages.LoadReport:
         """Give the report of this moment."""
         away = self._misses >= MAX_MISSES
         return messages.LoadReport(
--- a/packages/burdockchute-agent/burdockchute_agent/staged/forecast.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/forecast.py
@@ -17,7 +17,7 @@
 from burdockchute.decisions import versions
 from burdockchute.decisions.versions import History
 from burdockchute.model.engines import EngineReport
-from burdockchute_agent.copying import Copying
+from burdockchute_agent.copy_manager import CopyManager
 from burdockchute_agent.staged.rollout import Rollout
 
 
@@ -31,7 +31,7 @@
 
     report: EngineReport | None
     rollouts: Collection[Rollout]
-    copying: Copying
+    copying: CopyManager
     history: Callable[[str], History]
     version_s: float
     link_bytes_per_s: float
--- a/packages/burdockchute-agent/burdockchute_agent/staged/rollout.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/rollout.py
@@ -31,7 +31,7 @@
     def link_s(self, digest: str) -> float:
         """Give what a whole copy takes over the own link at the least."""
 
-    def whole_copy(self, digest: str) -> object | None:
+    def complete_copy(self, digest: str) -> object | None:
         """Give a copy if it is whole."""
 
     def copy_of(self, digest: str) -> Copy | None:
@@ -118,7 +118,7 @@
         """Take up a copy that has become whole."""
         for version in self.wanted:
             newer = self.ready is None or version > self.ready
-            if newer and copies.whole_copy(self.name(version)):
+            if newer and copies.complete_copy(self.name(version)):
                 self.ready = version
                 self.ordered_at = None
 
--- a/packages/burdockchute-agent/burdockchute_agent/staged/staged_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/staged_task.py
@@ -36,11 +36,11 @@
 from burdockchute.weights.manifest import parse_named
 from burdockchute.wire import messages
 from burdockchute_agent.bandwidth import Bandwidth
-from burdockchute_agent.copying import Copying
-from burdockchute_agent.copying import Source
+from burdockchute_agent.copy_manager import CopyManager
+from burdockchute_agent.copy_manager import WeightsSource
 from burdockchute_agent.hosting_plan import Target
 from burdockchute_agent.origin_reads import OriginClient
-from burdockchute_agent.policy import DEFAULT
+from burdockchute_agent.policy import DEFAULT_POLICY
 from burdockchute_agent.staged import loading
 from burdockchute_agent.staged.forecast import AvailabilityForecast
 from burdockchute_agent.staged.forecast import servable_versions
@@ -114,13 +114,13 @@
         )
         self._peers = Peers(self._own, hello, self.inbox, rng)
         link = machine.link_bytes_per_s
-        self._copying = Copying(
+        self._copying = CopyManager(
             self._own,
-            Source(self._open_origin, parse_named),
+            WeightsSource(self._open_origin, parse_named),
             Bandwidth(link, link, now()),
             self._peers,
             self.inbox,
-            DEFAULT,
+            DEFAULT_POLICY,
             rng,
             now(),
             paced=True,
@@ -190,7 +190,7 @@
             case ChunksStaged():
                 self._staged_ahead(message)
             case FoundHere(name=name, found=found):
-                self._copying.held_back.discard(name)
+                self._copying.awaiting_local_scan.discard(name)
                 logs.event('chunks_found_here', copy=name, found=found)
             case _:
                 self._copying.take(message, self._now())
@@ -266,7 +266,7 @@
             rollout = self._rollouts.setdefault(model, Rollout(model))
             self._step_model(rollout, now)
         targets = self._targets()
-        self._copying.want(
+        self._copying.set_targets(
             targets,
             {target.digest: self._hosts for target in targets},
             now,
@@ -274,7 +274,7 @@
         )
         if now - self._standing_at >= STANDING_S:
             self._standing_at = now
-            self._copying.log_standing()
+            self._copying.log_progress()
         return self._copying.tick(now)
 
     def _models(self) -> list[str]:
@@ -294,14 +294,14 @@
         if rollout.ready is None:
             return
         name = rollout.name(rollout.ready)
-        self._copying.set_phase(
+        self._copying.set_engine_phase(
             name, engine.loading, engine.version == rollout.ready
         )
         if rollout.busy or rollout.is_staging or now < rollout.pause_until:
             return
         if not staging.may_order(rollout.standing(engine), now):
             return
-        copy = self._copying.whole_copy(name)
+        copy = self._copying.complete_copy(name)
         if copy is not None and self._is_our_turn(rollout, engine, now):
             rollout.busy = True
             gevent.spawn(self._load, copy, rollout.model, rollout.ready)
@@ -327,10 +327,10 @@
         before = self._before(name)
         known = pacing.Before(
             is_open=before is not None
-            and self._copying.is_open_at(before, name),
+            and self._copying.is_served_by(before, name),
             gone=before in self._peers.unreachable(),
         )
-        whole_since = self._copying.whole_since(name)
+        whole_since = self._copying.completed_at(name)
         return whole_since is not None and pacing.may_load(
             before, known, whole_since, now
         )
@@ -418,9 +418,9 @@
         manifest = self._copying.manifest_of(name)
         since = self._held_since.setdefault(name, now)
         if now - since > HOLD_S:
-            self._copying.held_back.discard(name)
+            self._copying.awaiting_local_scan.discard(name)
         elif manifest is None or self.report is None:
-            self._copying.held_back.add(name)
+            self._copying.awaiting_local_scan.add(name)
         if manifest is None or self.report is None:
             return
         self._looked_through.add(name)
@@ -428,14 +428,16 @@
 
     def _find_here(self, model: str, name: str) -> None:
         found = 0
-        for index in self._copying.missing(name):
+        for index in self._copying.missing_chunks(name):
             lying = self._engine.staged(model, index)
             if isinstance(lying, Failure):
                 if not lying.failure().status:
                     break
                 continue
             data = lying.unwrap()
-            found += self._copying.found_here(name, index, data, self._now())
+            found += self._copying.add_local_chunk(
+                name, index, data, self._now()
+            )
         self.inbox.put(FoundHere(name, found))
 
 
--- a/packages/burdockchute-agent/burdockchute_agent/uploads.py
+++ b/packages/burdockchute-agent/burdockchute_agent/upload_queue.py
@@ -18,7 +18,7 @@
     chunk: int
 
 
-class Uploads:
+class UploadQueue:
     """A bounded queue that serves its peers in turn."""
 
     def __init__(self) -> None:
--- a/packages/burdockchute-agent/burdockchute_agent/weights_states.py
+++ b/packages/burdockchute-agent/burdockchute_agent/weights_states.py
@@ -5,7 +5,7 @@
 from burdockchute.upstreams.gate import Gate
 from burdockchute.upstreams.gate import Weights
 from burdockchute.wire import messages
-from burdockchute_agent.copying import Copying
+from burdockchute_agent.copy_manager import CopyManager
 from burdockchute_agent.engine_state_tracker import EngineStateTracker
 from burdockchute_agent.row_switch import RowSwitch
 
@@ -14,7 +14,7 @@
     switch: RowSwitch,
     tracker: EngineStateTracker,
     gate: Gate,
-    copying: Copying,
+    copying: CopyManager,
 ) -> list[messages.WeightsState]:
     """Give one state for each digest that is wanted or loaded for a row."""
     digests = set(tracker.loaded(switch.kind, switch.name))
--- a/packages/burdockchute-agent/burdockchute_agent/weights_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/weights_task.py
@@ -43,8 +43,8 @@
 from burdockchute.weights.origin import Origin
 from burdockchute.wire import messages
 from burdockchute_agent.bandwidth import Bandwidth
-from burdockchute_agent.copying import Copying
-from burdockchute_agent.copying import Source
+from burdockchute_agent.copy_manager import CopyManager
+from burdockchute_agent.copy_manager import WeightsSource
 from burdockchute_agent.engine_state_tracker import EngineStateTracker
 from burdockchute_agent.engine_task import EngineTask
 from burdockchute_agent.events import EngineStateRead
@@ -52,7 +52,7 @@
 from burdockchute_agent.events import Registered
 from burdockchute_agent.hosting_plan import plan_hosting
 from burdockchute_agent.hosting_plan import Target
-from burdockchute_agent.policy import DEFAULT
+from burdockchute_agent.policy import DEFAULT_POLICY
 from burdockchute_agent.policy import Policy
 from burdockchute_agent.row_switch import RowSwitch
 from burdockchute_agent.weights_states import states_of
@@ -91,7 +91,7 @@
         source: Callable[[], str] = str,
         services: Collection[str] = (),
         live_bytes: Callable[[], int] = int,
-        policy: Policy = DEFAULT,
+        policy: Policy = DEFAULT_POLICY,
         seed: int | None = None,
     ) -> None:
         self.inbox: queue.Queue = queue.Queue()
@@ -110,9 +110,9 @@
         self._tracker = EngineStateTracker(now)
         self._engine = EngineTask(upstream_url, self.inbox.put)
         self._peers = Peers(self._own, hello, self.inbox, rng)
-        self._copying = Copying(
+        self._copying = CopyManager(
             self._own,
-            Source(lambda: Origin(store_url, 1), parse),
+            WeightsSource(lambda: Origin(store_url, 1), parse),
             Bandwidth(uplink, downlink, now),
             self._peers,
             self.inbox,
@@ -160,7 +160,7 @@
 
     def weights_response(self, digest: str) -> WeightsContent | None:
         """Give manifest and content of whole weights, None without them."""
-        copy = self._copying.whole_copy(digest)
+        copy = self._copying.complete_copy(digest)
         if copy is None:
             return None
         return copy.manifest, copy.content()
@@ -213,7 +213,7 @@
                 plan.targets.get(row), plan.predecessors.get(row)
             )
         self._peers.want(plan.peers)
-        self._copying.want(
+        self._copying.set_targets(
             list(plan.targets.values()), plan.hosts, time.monotonic()
         )
 
@@ -291,7 +291,7 @@
             self._give_order(switch, step, now)
         if switch.target is not None:
             digest = switch.target.digest
-            self._copying.set_phase(
+            self._copying.set_engine_phase(
                 digest,
                 digest in loading,
                 self.gate.is_open(weights_of(switch, digest)),
@@ -307,7 +307,7 @@
             if (gate.weights.kind, gate.weights.name)
             == (switch.kind, switch.name)
         ]
-        copy = self._copying.whole_copy(digest) if digest else None
+        copy = self._copying.complete_copy(digest) if digest else None
         return switching.Situation(
             wanted=digest,
             whole=copy is not None,
@@ -326,13 +326,13 @@
         if not self._tracker.loaded(switch.kind, switch.name):
             return True
         digest = switch.target.digest if switch.target else ''
-        whole_since = self._copying.whole_since(digest)
+        whole_since = self._copying.completed_at(digest)
         if whole_since is None:
             return False
         name = switch.predecessor
         known = pacing.Before(
             is_open=name is not None
-            and self._copying.is_open_at(name, digest),
+            and self._copying.is_served_by(name, digest),
             gone=name in self._peers.unreachable(),
         )
         return pacing.may_load(name, known, whole_since, now)
--- a/packages/burdockchute-agent/tests/test_serving.py
+++ b/packages/burdockchute-agent/tests/test_serving.py
@@ -9,8 +9,8 @@
 from burdockchute.weights.copies import Copy
 from burdockchute.wire import messages
 from burdockchute_agent.bandwidth import Bandwidth
-from burdockchute_agent.serving import PACED_BYTES
-from burdockchute_agent.serving import Serving
+from burdockchute_agent.chunk_sender import ChunkSender
+from burdockchute_agent.chunk_sender import MAX_PACED_QUEUE_BYTES
 from burdockchute_agent.weights_metrics import WeightsMetrics
 
 CHUNK_BYTES = 48 * 1024
@@ -46,7 +46,7 @@
         for index in range(CHUNKS):
             copy.add(index, bytes(CHUNK_BYTES))
         self.peers = {name: FakePeer(name) for name in ('a', 'b', 'c')}
-        self.serving = Serving(
+        self.serving = ChunkSender(
             self.peers,
             lambda digest: copy,
             Bandwidth(1e6, 1e6, 0.0),
@@ -57,7 +57,7 @@
     def ask(self, name, *indexes):
         for index in indexes:
             request = messages.ChunkRequest('d', index)
-            self.serving.asked(self.peers[name], request)
+            self.serving.handle_request(self.peers[name], request)
 
     def test_a_peer_that_takes_nothing_does_not_keep_the_agent_busy(self):
         """The uplink has room and the queues do not; a look at once is vain.
@@ -71,7 +71,7 @@
 
     def test_peers_behind_slow_links_hold_up_no_others(self):
         for name in ('a', 'b'):
-            self.peers[name].link.queued_bytes = PACED_BYTES
+            self.peers[name].link.queued_bytes = MAX_PACED_QUEUE_BYTES
             self.peers[name].link.slow = True
         self.ask('c', 0)
         self.serving.send_due(1.0)
--- a/packages/burdockchute-agent/tests/test_staged.py
+++ b/packages/burdockchute-agent/tests/test_staged.py
@@ -12,7 +12,7 @@
 from burdockchute.model.engines import OrderEnd
 from burdockchute.weights import manifest as manifests
 from burdockchute.weights.copies import Copy
-from burdockchute_agent.imports import Imports
+from burdockchute_agent.region_imports import RegionImports
 from burdockchute_agent.staged import loading
 from burdockchute_agent.staged.rollout import EngineLoadState
 from burdockchute_agent.staged.rollout import Rollout
@@ -205,20 +205,20 @@
         everything = (1 << 48) - 1
         shares = []
         for name in names:
-            imports = Imports()
-            imports.share_among(name, names)
-            imports.seen(everything, 10.0)
-            shares.append(imports.allowed(everything, 10.5))
+            imports = RegionImports()
+            imports.set_importers(name, names)
+            imports.note_remote_chunks(everything, 10.0)
+            shares.append(imports.importable(everything, 10.5))
             self.assertEqual(shares[-1], imports.own_share(everything, 10.5))
         self.assertEqual(everything, shares[0] | shares[1] | shares[2])
         self.assertEqual(48, sum(share.bit_count() for share in shares))
 
     def test_others_step_in_for_one_that_is_gone(self):
-        imports = Imports()
-        imports.share_among('a', ('a', 'b', 'c'))
+        imports = RegionImports()
+        imports.set_importers('a', ('a', 'b', 'c'))
         everything = (1 << 48) - 1
-        imports.seen(everything, 10.0)
-        self.assertEqual(everything, imports.allowed(everything, 14.5))
+        imports.note_remote_chunks(everything, 10.0)
+        self.assertEqual(everything, imports.importable(everything, 14.5))
 
     def test_without_a_region_everything_may_come_from_anywhere(self):
-        self.assertEqual(7, Imports().allowed(7, 0.0))
+        self.assertEqual(7, RegionImports().importable(7, 0.0))
--- a/packages/burdockchute-agent/tests/test_weights_parts.py
+++ b/packages/burdockchute-agent/tests/test_weights_parts.py
@@ -18,14 +18,14 @@
 from burdockchute.weights import manifest as manifests
 from burdockchute.wire import messages
 from burdockchute_agent.bandwidth import Bandwidth
-from burdockchute_agent.copier import AskPeer
 from burdockchute_agent.copier import Copier
 from burdockchute_agent.copier import ReadOrigin
+from burdockchute_agent.copier import RequestChunk
 from burdockchute_agent.engine_state_tracker import EngineStateTracker
-from burdockchute_agent.origin_turn import MANIFEST
+from burdockchute_agent.origin_schedule import MANIFEST_INDEX
 from burdockchute_agent.row_switch import RowSwitch
-from burdockchute_agent.uploads import Upload
-from burdockchute_agent.uploads import Uploads
+from burdockchute_agent.upload_queue import Upload
+from burdockchute_agent.upload_queue import UploadQueue
 
 CONTENT = bytes(range(40))
 MANIFEST_OF = manifests.build('story', CONTENT, 10)
@@ -60,26 +60,26 @@
             random.Random(1),
             0.0,
         )
-        self.copier.turn.set_readers(
+        self.copier.origin_schedule.set_readers(
             sources.readers('d', 'own', ['own', 'other'])
         )
 
     def begin(self) -> None:
-        self.copier.manifest_came(MANIFEST_OF, 0.0)
+        self.copier.manifest_received(MANIFEST_OF, 0.0)
 
     def plan(self, now: float) -> set:
         reads = self.copier.plan_reads(now, unlimited)
-        return {*reads, *self.copier.plan_asks(now, unlimited)}
+        return {*reads, *self.copier.plan_requests(now, unlimited)}
 
     def test_manifest_comes_from_a_peer_that_has_it(self):
-        self.copier.have_came('p', 0, have(0), 0.0)
-        self.assertEqual({AskPeer('p', MANIFEST)}, self.plan(0.0))
+        self.copier.have_received('p', 0, have(0), 0.0)
+        self.assertEqual({RequestChunk('p', MANIFEST_INDEX)}, self.plan(0.0))
         self.assertEqual(set(), self.plan(0.1))
 
     def test_two_requests_for_each_peer(self):
         self.begin()
         for name in ('p', 'q'):
-            self.copier.have_came(name, 0, have(0b1111), 0.0)
+            self.copier.have_received(name, 0, have(0b1111), 0.0)
         asked = self.plan(0.0)
         self.assertEqual({0, 1, 2, 3}, {ask.chunk for ask in asked})
         self.assertEqual(
@@ -88,11 +88,11 @@
 
     def test_peer_that_lets_a_deadline_pass_is_left_alone(self):
         self.begin()
-        self.copier.have_came('p', 0, have(0b0001), 0.0)
-        self.assertEqual({AskPeer('p', 0)}, self.plan(0.0) - reads())
+        self.copier.have_received('p', 0, have(0b0001), 0.0)
+        self.assertEqual({RequestChunk('p', 0)}, self.plan(0.0) - reads())
         late = sources.deadline_s(0.0) + 0.1
-        self.copier.have_came('q', 2, have(0b0001), late)
-        self.assertIn(AskPeer('q', 0), self.plan(late))
+        self.copier.have_received('q', 2, have(0b0001), late)
+        self.assertIn(RequestChunk('q', 0), self.plan(late))
 
     def test_last_chunk_is_asked_for_twice(self):
         # All but one chunk are there and the peer that has the last one
@@ -100,14 +100,14 @@
         # version for one chunk.
         self.begin()
         for index in (0, 1, 2):
-            self.copier.read_came(index, chunk(index), 0.0)
-        self.copier.have_came('p', 0, have(0b1000), 0.0)
-        self.assertEqual({AskPeer('p', 3)}, self.plan(0.0))
-        self.copier.have_came('q', 0, have(0b1000), 0.0)
+            self.copier.origin_chunk_received(index, chunk(index), 0.0)
+        self.copier.have_received('p', 0, have(0b1000), 0.0)
+        self.assertEqual({RequestChunk('p', 3)}, self.plan(0.0))
+        self.copier.have_received('q', 0, have(0b1000), 0.0)
         self.assertEqual(set(), self.plan(0.1))
         later = sources.second_source_s(0.0) + 0.1
-        self.assertEqual({AskPeer('q', 3)}, self.plan(later))
-        self.assertTrue(self.copier.chunk_came('q', 3, chunk(3), later))
+        self.assertEqual({RequestChunk('q', 3)}, self.plan(later))
+        self.assertTrue(self.copier.chunk_received('q', 3, chunk(3), later))
         self.assertTrue(self.copier.complete)
 
     def test_what_a_neighbour_has_is_not_brought_from_another_region(self):
@@ -117,10 +117,10 @@
         from another region it would use the narrow link for nothing.
         """
         self.begin()
-        self.copier.reads_at_once = 0
-        self.copier.imports.share_among('own', ['own'])
-        self.copier.have_came('far', 2, have(0b1111), 0.0)
-        self.copier.have_came('near', 0, have(0b0011), 0.0)
+        self.copier.max_reads = 0
+        self.copier.imports.set_importers('own', ['own'])
+        self.copier.have_received('far', 2, have(0b1111), 0.0)
+        self.copier.have_received('near', 0, have(0b0011), 0.0)
         asked = self.plan(0.0)
         self.assertEqual(
             {('far', 2), ('far', 3), ('near', 0), ('near', 1)},
@@ -129,23 +129,23 @@
 
     def test_chunks_of_a_peer_that_died_are_asked_for_elsewhere(self):
         self.begin()
-        self.copier.have_came('p', 0, have(0b0011), 0.0)
+        self.copier.have_received('p', 0, have(0b0011), 0.0)
         self.plan(0.0)
-        self.copier.have_came('q', 0, have(0b0011), 0.0)
-        self.copier.peer_gone('p')
+        self.copier.have_received('q', 0, have(0b0011), 0.0)
+        self.copier.peer_disconnected('p')
         asked = self.plan(0.0) - reads()
-        self.assertEqual({AskPeer('q', 0), AskPeer('q', 1)}, asked)
+        self.assertEqual({RequestChunk('q', 0), RequestChunk('q', 1)}, asked)
 
     def test_origin_is_read_once_for_what_nobody_has(self):
         self.begin()
-        self.copier.have_came('p', 0, have(0b0011), 0.0)
+        self.copier.have_received('p', 0, have(0b0011), 0.0)
         found: set[int] = set()
         now = 0.0
         while now < 3.0:
             for action in self.plan(now):
                 if isinstance(action, ReadOrigin):
                     found.add(action.chunk)
-                    self.copier.read_came(
+                    self.copier.origin_chunk_received(
                         action.chunk, chunk(action.chunk), now
                     )
             now += 0.1
@@ -159,11 +159,11 @@
         readers = sources.readers('d', 'a7', hosts)
         ranks = {sources.reader_rank(readers, index) for index in range(4)}
         self.assertNotIn(0, ranks)
-        self.copier.turn.set_readers(readers)
+        self.copier.origin_schedule.set_readers(readers)
         self.begin()
         now = 100.0
         for action in self.plan(now):
-            self.copier.read_lost(action.chunk, now)
+            self.copier.origin_read_failed(action.chunk, now)
         back = now + 2 * sources.MIN_BACKOFF_S
         self.assertEqual(set(), self.plan(back))
         self.assertNotEqual(set(), self.plan(back + 100.0))
@@ -171,28 +171,28 @@
     def test_few_unknown_chunks_are_read_at_a_time(self):
         """All readers of a thin origin at once would end together, late."""
         self.copier.reads_in_order = True
-        self.copier.reads_at_once = 4
+        self.copier.max_reads = 4
         self.begin()
         with mock.patch.object(sources, 'CHUNKS_AT_ONCE', 2):
             now = sources.GRACE_S
-            self.copier.turn.turned_up(1, now)
+            self.copier.origin_schedule.chunks_found(1, now)
             readers = sources.readers('d', 'own', ['own'])
-            self.copier.turn.set_readers(readers)
+            self.copier.origin_schedule.set_readers(readers)
             self.assertEqual({ReadOrigin(0), ReadOrigin(1)}, self.plan(now))
             # A peer has told that it holds one of them.
-            self.copier.have_came('p', 0, have(0b0010), now)
+            self.copier.have_received('p', 0, have(0b0010), now)
             self.assertIn(ReadOrigin(2), self.plan(now))
 
     def test_more_are_read_where_none_turns_up(self):
         """A reader may be dead, or the origin slow."""
         self.copier.reads_in_order = True
-        self.copier.reads_at_once = 4
+        self.copier.max_reads = 4
         self.begin()
         with mock.patch.object(sources, 'CHUNKS_AT_ONCE', 1):
             readers = sources.readers('d', 'own', ['own'])
-            self.copier.turn.set_readers(readers)
+            self.copier.origin_schedule.set_readers(readers)
             now = sources.GRACE_S
-            self.copier.turn.turned_up(1, now)
+            self.copier.origin_schedule.chunks_found(1, now)
             self.assertEqual({ReadOrigin(0)}, self.plan(now))
             now += sources.STALLED_S * 1.1
             self.assertEqual({ReadOrigin(1)}, self.plan(now))
@@ -200,25 +200,25 @@
     def test_a_second_copy_for_a_region_waits_for_the_first(self):
         """Chunks that nobody has are lost if the origin fails."""
         self.copier.reads_in_order = True
-        self.copier.reads_at_once = 4
-        self.copier.imports.share_among('own', ('own',))
+        self.copier.max_reads = 4
+        self.copier.imports.set_importers('own', ('own',))
         self.begin()
         now = sources.GRACE_S
         readers = sources.readers('d', 'other', ['own', 'other'])
-        self.copier.turn.set_readers(readers._replace(own='own'))
+        self.copier.origin_schedule.set_readers(readers._replace(own='own'))
         far = (1 << len(MANIFEST_OF.chunks)) - 1
-        self.copier.have_came('far', ELSEWHERE, have(far & ~1), now)
+        self.copier.have_received('far', ELSEWHERE, have(far & ~1), now)
         unknown = {a.chunk for a in self.plan(now) if is_read(a)}
         self.assertLessEqual(unknown, {0})
-        self.copier.have_came('far', ELSEWHERE, have(far), now)
+        self.copier.have_received('far', ELSEWHERE, have(far), now)
         asked = self.plan(now + 0.01)
         self.assertTrue(any(is_read(a) and a.chunk != 0 for a in asked))
 
     def test_failed_reads_wait_before_the_next(self):
-        self.copier.heard(set())
+        self.copier.set_expected_peers(set())
         now = sources.GRACE_S + 4.0
-        self.assertEqual({ReadOrigin(MANIFEST)}, self.plan(now))
-        self.copier.read_lost(MANIFEST, now)
+        self.assertEqual({ReadOrigin(MANIFEST_INDEX)}, self.plan(now))
+        self.copier.origin_read_failed(MANIFEST_INDEX, now)
         self.assertEqual(set(), self.plan(now + 0.1))
 
 
@@ -226,7 +226,7 @@
     def test_peers_are_served_in_turn(self):
         # One peer asks for many chunks at once. Another one's single
         # request must not wait for all of them.
-        uploads = Uploads()
+        uploads = UploadQueue()
         for index in range(4):
             uploads.add(Upload('greedy', 'd', index))
         uploads.add(Upload('other', 'd', 9))
@@ -234,12 +234,12 @@
         self.assertEqual({'greedy', 'other'}, first_two)
 
     def test_queue_is_bounded(self):
-        uploads = Uploads()
+        uploads = UploadQueue()
         taken = [uploads.add(Upload('p', 'd', n)) for n in range(20)]
         self.assertEqual(8, sum(taken))
 
     def test_given_up_weights_leave_the_queue(self):
-        uploads = Uploads()
+        uploads = UploadQueue()
         uploads.add(Upload('p', 'd', 1))
         uploads.add(Upload('p', 'e', 2))
         self.assertEqual([Upload('p', 'd', 1)], uploads.forget_digest('d'))
@@ -361,10 +361,10 @@
         # idle for as long as the chunk would have taken.
         bandwidth = Bandwidth(1000.0, 1000.0, 0.0)
         bandwidth.refill(1.0)
-        self.assertTrue(bandwidth.may_receive(500))
-        self.assertFalse(bandwidth.may_receive(1))
-        bandwidth.not_received(500)
-        self.assertTrue(bandwidth.may_receive(1))
+        self.assertTrue(bandwidth.reserve_downlink(500))
+        self.assertFalse(bandwidth.reserve_downlink(1))
+        bandwidth.release_downlink(500)
+        self.assertTrue(bandwidth.reserve_downlink(1))
 
     def test_copies_stand_back_for_live_requests(self):
         bandwidth = Bandwidth(1000.0, 1000.0, 0.0)
--- a/packages/burdockchute-testing/burdockchute_testing/benches/rollout_policies.py
+++ b/packages/burdockchute-testing/burdockchute_testing/benches/rollout_policies.py
@@ -13,7 +13,7 @@
 from burdockchute.decisions.hosting import ranked
 from burdockchute.decisions.sources import Readers
 from burdockchute.model.members import Member
-from burdockchute_agent.policy import DEFAULT
+from burdockchute_agent.policy import DEFAULT_POLICY
 from burdockchute_agent.policy import Policy
 
 # Steps before one that must not read the origin at all.
@@ -56,16 +56,22 @@
 
 
 BASELINES: dict[str, Policy] = {
-    'origin': DEFAULT._replace(neighbours=_no_peers, readers=_everyone_reads),
-    'chain': DEFAULT._replace(neighbours=_chain_parent, readers=_head_reads),
-    'tree': DEFAULT._replace(neighbours=_tree_parent, readers=_head_reads),
+    'origin': DEFAULT_POLICY._replace(
+        neighbours=_no_peers, readers=_everyone_reads
+    ),
+    'chain': DEFAULT_POLICY._replace(
+        neighbours=_chain_parent, readers=_head_reads
+    ),
+    'tree': DEFAULT_POLICY._replace(
+        neighbours=_tree_parent, readers=_head_reads
+    ),
 }
 
 POLICIES: dict[str, Policy] = {
-    'default': DEFAULT,
+    'default': DEFAULT_POLICY,
     **BASELINES,
     **{
-        name: DEFAULT._replace(choose=choose)
+        name: DEFAULT_POLICY._replace(choose=choose)
         for name, choose in chunks.CHOICES.items()
     },
 }
--- a/packages/burdockchute-testing/burdockchute_testing/emulator/swarm.py
+++ b/packages/burdockchute-testing/burdockchute_testing/emulator/swarm.py
@@ -25,19 +25,19 @@
 from burdockchute.weights.manifest import Manifest
 from burdockchute.wire import messages
 from burdockchute_agent.bandwidth import Bandwidth
-from burdockchute_agent.copier import AskPeer
 from burdockchute_agent.copier import Copier
-from burdockchute_agent.copier import PACED_ASKED_IN_ALL
-from burdockchute_agent.copier import PACED_READS_AT_ONCE
+from burdockchute_agent.copier import PACED_MAX_READS
+from burdockchute_agent.copier import PACED_MAX_REQUESTS
 from burdockchute_agent.copier import ReadOrigin
-from burdockchute_agent.copying import asking
-from burdockchute_agent.copying import reading
-from burdockchute_agent.policy import DEFAULT
+from burdockchute_agent.copier import RequestChunk
+from burdockchute_agent.copy_manager import copies_reading_origin
+from burdockchute_agent.copy_manager import copies_requesting_chunks
+from burdockchute_agent.policy import DEFAULT_POLICY
 from burdockchute_agent.staged.origins import copy_name
 from burdockchute_agent.staged.rollout import EngineLoadState
 from burdockchute_agent.staged.rollout import Rollout
-from burdockchute_agent.uploads import Upload
-from burdockchute_agent.uploads import Uploads
+from burdockchute_agent.upload_queue import Upload
+from burdockchute_agent.upload_queue import UploadQueue
 from burdockchute_testing.emulator.network import between
 from burdockchute_testing.emulator.network import Fleet
 from burdockchute_testing.emulator.network import MBIT_BYTES
@@ -70,7 +70,7 @@
         self.member = member
         self.rollout = Rollout(MODEL)
         self.copiers: dict[str, Copier] = {}
-        self.uploads = Uploads()
+        self.uploads = UploadQueue()
         self.sending = 0
         self.has_news = False
         fleet = swarm.fleet
@@ -89,10 +89,10 @@
 
     def _hold_first(self) -> None:
         digest = copy_name(MODEL, self.version)
-        copier = Copier(digest, 1.0, DEFAULT.choose, self._rng, 0.0)
-        copier.manifest_came(self._swarm.manifest(digest), 0.0)
+        copier = Copier(digest, 1.0, DEFAULT_POLICY.choose, self._rng, 0.0)
+        copier.manifest_received(self._swarm.manifest(digest), 0.0)
         for chunk in range(self._swarm.fleet.chunks):
-            copier.found_here(chunk, self._swarm.data(digest, chunk), 0.0)
+            copier.add_local_chunk(chunk, self._swarm.data(digest, chunk), 0.0)
         self.copiers[digest] = copier
         self.rollout.ready = self.version
         self.rollout.wanted = (self.version,)
@@ -117,7 +117,7 @@
         size = fleet.chunks * fleet.chunk_bytes
         return size / (copy_rates.CAP_SHARE * fleet.side_mbit * MBIT_BYTES)
 
-    def whole_copy(self, digest: str) -> Copy | None:
+    def complete_copy(self, digest: str) -> Copy | None:
         """Give a copy if it is whole."""
         copier = self.copiers.get(digest)
         return copier.copy if copier is not None and copier.complete else None
@@ -153,20 +153,22 @@
             self._tell(now)
 
     def _begin(self, digest: str, now: float) -> None:
-        copier = Copier(digest, 1.0, DEFAULT.choose, self._rng, now)
-        copier.asked_in_all = PACED_ASKED_IN_ALL
-        copier.reads_at_once = PACED_READS_AT_ONCE
+        copier = Copier(digest, 1.0, DEFAULT_POLICY.choose, self._rng, now)
+        copier.max_requests = PACED_MAX_REQUESTS
+        copier.max_reads = PACED_MAX_READS
         copier.reads_in_order = True
-        copier.turn.max_backoff_s = 0.5
+        copier.origin_schedule.max_backoff_s = 0.5
         names = self._swarm.names
-        copier.turn.set_readers(DEFAULT.readers(digest, self.name, names))
-        copier.imports.share_among(self.name, self._swarm.region_of(self))
+        copier.origin_schedule.set_readers(
+            DEFAULT_POLICY.readers(digest, self.name, names)
+        )
+        copier.imports.set_importers(self.name, self._swarm.region_of(self))
         self.copiers[digest] = copier
         self._news.add(digest)
         for peer in self._reached():
             other = peer.copiers.get(digest)
             if other is not None:
-                self.have_came(peer, digest, peer.have(digest), now)
+                self.have_received(peer, digest, peer.have(digest), now)
 
     def have(self, digest: str) -> messages.Have:
         """Give what to tell of a copy."""
@@ -175,7 +177,7 @@
             digest, copier.bitmap(), len(self.uploads), True, 0, False
         )
 
-    def have_came(
+    def have_received(
         self, peer: Agent, digest: str, have: messages.Have, now: float
     ) -> None:
         """Take a peer's news."""
@@ -184,8 +186,8 @@
             distance = neighbours.distance(
                 self.member.place, peer.member.place
             )
-            copier.have_came(peer.name, distance, have, now)
-            copier.heard(set(self.peers))
+            copier.have_received(peer.name, distance, have, now)
+            copier.set_expected_peers(set(self.peers))
             self.has_news = True
 
     def _tell(self, now: float) -> None:
@@ -193,7 +195,9 @@
         for digest in self._news & self.copiers.keys():
             have = self.have(digest)
             for peer in self._reached():
-                came = functools.partial(peer.have_came, self, digest, have)
+                came = functools.partial(
+                    peer.have_received, self, digest, have
+                )
                 self._swarm.after(WAY_S, came)
         self._news.clear()
 
@@ -207,20 +211,20 @@
 
     def _plan(self, held: Sequence[str], now: float) -> None:
         going = [self.copiers[d] for d in held if not self.copiers[d].complete]
-        may_take = self._bandwidth.may_receive
+        may_take = self._bandwidth.reserve_downlink
         self._bandwidth.refill(now, paced=True)
-        for copier in reading(going):
+        for copier in copies_reading_origin(going):
             for action in copier.plan_reads(now, may_take):
                 self._do(copier, action, now)
-        for copier in asking(going, now):
-            for action in copier.plan_asks(now, may_take):
+        for copier in copies_requesting_chunks(going, now):
+            for action in copier.plan_requests(now, may_take):
                 self._do(copier, action, now)
 
     def _do(
-        self, copier: Copier, action: AskPeer | ReadOrigin, now: float
+        self, copier: Copier, action: RequestChunk | ReadOrigin, now: float
     ) -> None:
         digest, chunk = copier.digest, action.chunk
-        if isinstance(action, AskPeer):
+        if isinstance(action, RequestChunk):
             peer = self.peers[action.peer]
             if peer in self._reached():
                 self._swarm.after(
@@ -236,7 +240,9 @@
         if copy is None or (chunk >= 0 and not copy.holds(chunk)):
             self._refuse(peer, digest, chunk, 1.0)
         elif chunk < 0:
-            self._swarm.after(WAY_S, lambda t: peer.manifest_came(digest, t))
+            self._swarm.after(
+                WAY_S, lambda t: peer.manifest_received(digest, t)
+            )
         elif self.uploads.add(Upload(peer.name, digest, chunk)):
             self.send_due()
         else:
@@ -248,14 +254,14 @@
         def refused(now: float) -> None:
             copier = peer.copiers.get(digest)
             if copier is not None:
-                copier.refused(self.name, chunk, wait_s, now)
+                copier.request_refused(self.name, chunk, wait_s, now)
                 peer.give_back(copier.size_of(chunk))
 
         self._swarm.after(WAY_S, refused)
 
     def give_back(self, size: int) -> None:
         """Note that bytes that were asked for will not come."""
-        self._bandwidth.not_received(size)
+        self._bandwidth.release_downlink(size)
 
     def send_due(self) -> None:
         """Send what the uplink takes."""
@@ -266,19 +272,19 @@
             self.sending += 1
             self._swarm.send(self, self._swarm.agents[upload.peer], upload)
 
-    def manifest_came(self, digest: str, now: float) -> None:
+    def manifest_received(self, digest: str, now: float) -> None:
         """Take a manifest from a peer or the origin."""
         copier = self.copiers.get(digest)
         if copier is None or copier.copy is not None:
             return
-        copier.manifest_came(self._swarm.manifest(digest), now)
+        copier.manifest_received(self._swarm.manifest(digest), now)
         self._news.add(digest)
         for peer in self._reached():
             if digest in peer.copiers:
-                self.have_came(peer, digest, peer.have(digest), now)
+                self.have_received(peer, digest, peer.have(digest), now)
         self.look(now)
 
-    def chunk_came(
+    def chunk_received(
         self, source: str, digest: str, chunk: int, now: float
     ) -> None:
         """Take a chunk from a peer, or from the origin without a name."""
@@ -287,9 +293,9 @@
             return
         data = self._swarm.data(digest, chunk)
         if source:
-            copier.chunk_came(source, chunk, data, now)
+            copier.chunk_received(source, chunk, data, now)
         else:
-            copier.read_came(chunk, data, now)
+            copier.origin_chunk_received(chunk, data, now)
         self._news.add(digest)
         if copier.complete:
             version = int(digest.partition('@')[2])
@@ -415,14 +421,14 @@
         def failed() -> None:
             copier = agent.copiers.get(digest)
             if copier is not None:
-                copier.read_lost(chunk, self.now)
+                copier.origin_read_failed(chunk, self.now)
 
         def arrived() -> None:
             if chunk < 0:
-                agent.manifest_came(digest, self.now)
+                agent.manifest_received(digest, self.now)
             else:
                 self.origin_chunks += 1
-                agent.chunk_came('', digest, chunk, self.now)
+                agent.chunk_received('', digest, chunk, self.now)
 
         if self._network.origin_is_away(self.now) or agent.name in self.cut:
             self.after(WAY_S, lambda now: failed())
@@ -443,7 +449,7 @@
 
         def arrived() -> None:
             done()
-            taker.chunk_came(
+            taker.chunk_received(
                 sender.name, upload.digest, upload.chunk, self.now
             )
 
