--- a/packages/burdockchute-agent/burdockchute_agent/copier.py
+++ b/packages/burdockchute-agent/burdockchute_agent/copier.py
@@ -12,10 +12,10 @@
 
 from burdockchute.decisions import chunks
 from burdockchute.decisions import sources
-from burdockchute.decisions.chunks import bits
-from burdockchute.decisions.chunks import Choose
+from burdockchute.decisions.chunks import ChunkPolicy
 from burdockchute.decisions.chunks import Offer
-from burdockchute.decisions.neighbours import ELSEWHERE
+from burdockchute.decisions.chunks import set_bits
+from burdockchute.decisions.neighbours import OTHER_REGION
 from burdockchute.weights.copies import Copy
 from burdockchute.weights.manifest import chunk_bytes
 from burdockchute.weights.manifest import Manifest
@@ -91,7 +91,7 @@
         self,
         digest: str,
         origin_copies: float,
-        choose: Choose,
+        choose: ChunkPolicy,
         rng: random.Random,
         now: float,
     ) -> None:
@@ -143,12 +143,12 @@
         peer.has_manifest = bool(have.bitmap)
         peer.load = have.uploads
         held = int.from_bytes(have.bitmap, 'little') & self._all
-        for chunk in bits(held & ~peer.held):
+        for chunk in set_bits(held & ~peer.held):
             self._holders[chunk] += 1
-        for chunk in bits(peer.held & ~held):
+        for chunk in set_bits(peer.held & ~held):
             self._holders[chunk] -= 1
         peer.held = held
-        if distance == ELSEWHERE:
+        if distance == OTHER_REGION:
             self.imports.note_remote_chunks(held & self._missing, now)
         fresh = held & ~self._near
         if fresh:
@@ -160,7 +160,7 @@
         peer = self.peers.pop(name, None)
         if peer is None:
             return
-        for chunk in bits(peer.held):
+        for chunk in set_bits(peer.held):
             self._holders[chunk] -= 1
         for chunk in list(self._asked):
             self._unask(chunk, name)
@@ -179,7 +179,7 @@
         if not self.copy.add(chunk, data):
             return False
         if at is not None:
-            self._latency = sources.smooth(self._latency, now - at)
+            self._latency = sources.moving_average(self._latency, now - at)
         peer = self.peers.get(name)
         if peer is not None:
             peer.strikes = 0
@@ -201,7 +201,7 @@
     ) -> bool:
         """Take a chunk from the origin; False if it is corrupt."""
         began = self._reading.pop(chunk, now)
-        self._read_s = sources.smooth(self._read_s, now - began)
+        self._read_s = sources.moving_average(self._read_s, now - began)
         if self.copy is None or self.copy.holds(chunk):
             return True
         if not self.copy.add(chunk, data):
@@ -354,7 +354,7 @@
         unseen = self._missing & ~self._reachable(now) & ~self._pending()
         due = [
             (self.origin_schedule.rank(chunk), self._order(chunk), chunk)
-            for chunk in bits(unseen & self._open_chunks(now))
+            for chunk in set_bits(unseen & self._open_chunks(now))
             if self._is_due(chunk, now)
         ]
         for _rank, _lot, chunk in sorted(due):
@@ -383,7 +383,7 @@
             + self.origin_schedule.chunks_at_once(now)
         )
         found = self._all & ((1 << last) - 1)
-        for chunk in bits(found & ~self._known()):
+        for chunk in set_bits(found & ~self._known()):
             self._open_since.setdefault(chunk, now)
         return found
 
@@ -397,7 +397,7 @@
             [self._read_s, *(now - began for began in self._reading.values())]
         )
         unread_s = now - self._open_since[chunk]
-        return unread_s >= sources.take_over_s(rank, read_s)
+        return unread_s >= sources.takeover_delay_s(rank, read_s)
 
     def _plan_reads_for_region(
         self,
@@ -412,7 +412,7 @@
         read there.
         """
         wanted = self._missing & ~self._pending() & ~self._held_near()
-        chosen = list(bits(self.imports.own_share(wanted, now)))
+        chosen = list(set_bits(self.imports.own_share(wanted, now)))
         while chosen and len(self._reading) < self.max_reads:
             chunk = chosen.pop(self._rng.randrange(len(chosen)))
             if not may_take(self.size_of(chunk)):
@@ -439,7 +439,7 @@
             first = [
                 offer._replace(useful=offer.useful & imports)
                 for offer in offers
-                if offer.distance == ELSEWHERE and offer.useful & imports
+                if offer.distance == OTHER_REGION and offer.useful & imports
             ]
             offers = first or chunks.nearest(offers)
             if not offers:
@@ -457,7 +457,7 @@
         if self._missing & ~self._pending():
             return
         late = now - sources.second_source_s(self._latency)
-        for chunk in bits(self._missing):
+        for chunk in set_bits(self._missing):
             asked = self._asked.of(chunk)
             began = [ask.at for ask in asked]
             if chunk in self._reading:
@@ -481,7 +481,7 @@
             Offer(
                 name,
                 peer.held
-                & (allowed if peer.distance == ELSEWHERE else wanted),
+                & (allowed if peer.distance == OTHER_REGION else wanted),
                 peer.load + peer.asked,
                 peer.distance,
             )
@@ -526,7 +526,7 @@
     def _held_near(self) -> int:
         held = 0
         for peer in self.peers.values():
-            if peer.distance != ELSEWHERE:
+            if peer.distance != OTHER_REGION:
                 held |= peer.held
         return held
 
--- a/packages/burdockchute-agent/burdockchute_agent/copy_manager.py
+++ b/packages/burdockchute-agent/burdockchute_agent/copy_manager.py
@@ -368,7 +368,7 @@
             copier.max_requests = PACED_MAX_REQUESTS
             copier.max_reads = PACED_MAX_READS
             copier.reads_in_order = True
-            copier.origin_schedule.max_backoff_s = sources.HASTY_BACKOFF_S
+            copier.origin_schedule.max_backoff_s = sources.URGENT_BACKOFF_S
         self._copiers[target.digest] = copier
         self._news.chunk(target.digest)
         event('copy_began', digest=target.digest)
@@ -397,7 +397,7 @@
         hosts = self._hosts.get(digest, ())
         readers = self._policy.readers(digest, self._own.name, hosts)
         self._copiers[digest].origin_schedule.set_readers(
-            readers._replace(absent=self._unreachable)
+            readers._replace(unreachable=self._unreachable)
         )
 
     def _expected_peers(self, digest: str) -> set[str]:
--- a/packages/burdockchute-agent/burdockchute_agent/hosting_plan.py
+++ b/packages/burdockchute-agent/burdockchute_agent/hosting_plan.py
@@ -95,7 +95,9 @@
     target: Target, own: Member, hosts: Mapping[str, Member]
 ) -> str | None:
     key = f'{target.kind}/{target.name}/{target.digest}'
-    return pacing.before(key, own.name, tuple(hosts), target.loading_share)
+    return pacing.predecessor(
+        key, own.name, tuple(hosts), target.loading_share
+    )
 
 
 def _peers(
--- a/packages/burdockchute-agent/burdockchute_agent/origin_schedule.py
+++ b/packages/burdockchute-agent/burdockchute_agent/origin_schedule.py
@@ -5,8 +5,8 @@
 import random
 
 from burdockchute.decisions import sources
-from burdockchute.decisions.sources import Progress
-from burdockchute.decisions.sources import Readers
+from burdockchute.decisions.sources import ChunkArrivals
+from burdockchute.decisions.sources import ReaderGroup
 
 # In a request or a reply this stands for the manifest itself.
 MANIFEST_INDEX = -1
@@ -30,13 +30,13 @@
         self._rng = rng
         self._began = now
         self._heard_all = False
-        self._readers: Readers | None = None
+        self._readers: ReaderGroup | None = None
         self._ranks: dict[int, int] = {}
-        self._progress = Progress(now, 0.0)
+        self._progress = ChunkArrivals(now, 0.0)
         self._failures = 0
         self._not_before = 0.0
 
-    def set_readers(self, readers: Readers) -> None:
+    def set_readers(self, readers: ReaderGroup) -> None:
         """Take the order in which agents may read."""
         if readers != self._readers:
             self._readers = readers
@@ -51,7 +51,7 @@
         if self._failures or now - self._began > STOOD_STILL_S:
             self._begin_again(now)
         self._failures = 0
-        self._progress = Progress(now, 0.0)
+        self._progress = ChunkArrivals(now, 0.0)
 
     def read_worked(self, now: float) -> None:
         """Note that the store has given a chunk."""
@@ -69,8 +69,8 @@
     def chunks_found(self, count: int, now: float) -> None:
         """Note that so many chunks unknown so far are held near here."""
         gap = (now - self._progress.last) / count
-        gap = sources.smooth(self._progress.gap, gap)
-        self._progress = Progress(now, gap)
+        gap = sources.moving_average(self._progress.interval_s, gap)
+        self._progress = ChunkArrivals(now, gap)
 
     @property
     def fails(self) -> bool:
@@ -100,12 +100,12 @@
         """Tell whether a chunk that no neighbour has may be read."""
         copies = MANIFEST_READERS
         if chunk != MANIFEST_INDEX:
-            copies = sources.copies_of(self.origin_copies, chunk)
+            copies = sources.readers_per_chunk(self.origin_copies, chunk)
         began = self._began
         if self._heard_all:
             began -= sources.GRACE_S
-        step = self._readers.step if self._readers else 0
-        return now >= sources.read_after(
+        step = self._readers.group_index if self._readers else 0
+        return now >= sources.earliest_read_at(
             self.rank(chunk), step, copies, began, self._progress
         )
 
--- a/packages/burdockchute-agent/burdockchute_agent/policy.py
+++ b/packages/burdockchute-agent/burdockchute_agent/policy.py
@@ -12,8 +12,8 @@
 from burdockchute.decisions import chunks
 from burdockchute.decisions import neighbours
 from burdockchute.decisions import sources
-from burdockchute.decisions.chunks import Choose
-from burdockchute.decisions.sources import Readers
+from burdockchute.decisions.chunks import ChunkPolicy
+from burdockchute.decisions.sources import ReaderGroup
 from burdockchute.model.members import Member
 
 
@@ -25,12 +25,12 @@
     """
 
     neighbours: Callable[[str, Member, Sequence[Member]], tuple[str, ...]]
-    readers: Callable[[str, str, Sequence[str]], Readers]
-    choose: Choose
+    readers: Callable[[str, str, Sequence[str]], ReaderGroup]
+    choose: ChunkPolicy
 
 
 DEFAULT_POLICY = Policy(
     neighbours=neighbours.neighbours,
-    readers=sources.readers,
+    readers=sources.reader_group,
     choose=chunks.rarest_from_least_loaded,
 )
--- a/packages/burdockchute-agent/burdockchute_agent/region_imports.py
+++ b/packages/burdockchute-agent/burdockchute_agent/region_imports.py
@@ -5,28 +5,28 @@
 from collections.abc import Iterable
 
 from burdockchute.decisions import sources
-from burdockchute.decisions.chunks import bits
-from burdockchute.decisions.sources import Readers
+from burdockchute.decisions.chunks import set_bits
+from burdockchute.decisions.sources import ReaderGroup
 
 
 class RegionImports:
     """The shares of the agents of one region in the chunks of one copy."""
 
     def __init__(self) -> None:
-        self._readers: Readers | None = None
+        self._readers: ReaderGroup | None = None
         self._ranks: dict[int, int] = {}
         self._seen_at: dict[int, float] = {}
 
     def set_importers(self, own: str, names: Iterable[str]) -> None:
         """Take who is in the own region."""
-        readers = Readers(own, tuple(names), 0)
+        readers = ReaderGroup(own, tuple(names), 0)
         if readers != self._readers:
             self._readers = readers
             self._ranks.clear()
 
     def note_remote_chunks(self, chunks: int, now: float) -> None:
         """Note chunks that are held in another region."""
-        for chunk in bits(chunks):
+        for chunk in set_bits(chunks):
             self._seen_at.setdefault(chunk, now)
 
     def importable(self, wanted: int, now: float) -> int:
@@ -34,7 +34,7 @@
         if self._readers is None:
             return wanted
         found = 0
-        for chunk in bits(wanted):
+        for chunk in set_bits(wanted):
             seen_at = self._seen_at.get(chunk)
             if seen_at is None:
                 continue
@@ -48,7 +48,7 @@
             return 0
         return sum(
             1 << chunk
-            for chunk in bits(self.importable(wanted, now))
+            for chunk in set_bits(self.importable(wanted, now))
             if self._rank(chunk) == 0
         )
 
--- a/packages/burdockchute-agent/burdockchute_agent/staged/forecast.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/forecast.py
@@ -59,7 +59,7 @@
         named_at = versions.named_at(history, progress.version)
         limit_in_s = 0.0
         if named_at is not None:
-            limit_s = self.version_s - staging.LAST_CALL_S
+            limit_s = self.version_s - staging.FINAL_LOAD_S
             limit_in_s = named_at + limit_s - now
         before = self.before(rollout.name(progress.version))
         return staging.closes_in_s(
--- a/packages/burdockchute-agent/burdockchute_agent/staged/rollout.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/rollout.py
@@ -12,8 +12,8 @@
 from burdockchute import logs
 from burdockchute.decisions import staging
 from burdockchute.decisions import versions
-from burdockchute.decisions.staging import Progress
-from burdockchute.decisions.staging import Standing
+from burdockchute.decisions.staging import CopyProgress
+from burdockchute.decisions.staging import StagingState
 from burdockchute.decisions.versions import History
 from burdockchute.weights.copies import Copy
 from burdockchute_agent.staged.origins import copy_name
@@ -131,7 +131,7 @@
             for version in {*self.wanted, history.newest}
             if self.ready is None or version > self.ready
         ]
-        wanted = staging.wanted(history.newest, under_way)
+        wanted = staging.versions_to_copy(history.newest, under_way)
         if wanted == self.wanted:
             return
         logs.event(
@@ -154,20 +154,20 @@
             held.append(self.ready)
         return held
 
-    def standing(self, engine: EngineLoadState) -> Standing:
+    def standing(self, engine: EngineLoadState) -> StagingState:
         """Give what is known for the decision to order a load."""
-        return Standing(
+        return StagingState(
             self.ready, engine.version, engine.loading, self.ordered_at
         )
 
-    def next_load(self, loaded: int, copies: Copies) -> Progress | None:
+    def next_load(self, loaded: int, copies: Copies) -> CopyProgress | None:
         """Give the progress of what the engine loads next, if anything."""
         if self.ready is not None and loaded < self.ready:
-            return Progress(self.ready, 1.0)
+            return CopyProgress(self.ready, 1.0)
         if not self.wanted or self.wanted[0] <= loaded:
             return None
         version = self.wanted[0]
-        return Progress(version, _share(copies, self.name(version)))
+        return CopyProgress(version, _share(copies, self.name(version)))
 
     def copying_s(self, version: int, now: float) -> float:
         """Give for how long a version has been copied."""
@@ -180,14 +180,14 @@
         copies: Copies,
         limit_s: float,
         now: float,
-    ) -> Progress:
+    ) -> CopyProgress:
         named_at = versions.named_at(history, version)
         useful_s = 0.0
         if named_at is not None:
             useful_s = named_at + limit_s - versions.MARGIN_S - now
         name = self.name(version)
         _held, count = copies.progress(name)
-        return Progress(
+        return CopyProgress(
             version,
             _share(copies, name),
             self.copying_s(version, now),
--- a/packages/burdockchute-agent/burdockchute_agent/staged/staged_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/staged_task.py
@@ -228,7 +228,7 @@
         rollout.is_staging = False
         rollout.record_staged(staged.version, staged.chunks)
         if staged.reason:
-            rollout.stage_after = self._now() + staging.ORDER_PAUSE_S
+            rollout.stage_after = self._now() + staging.ORDER_RETRY_S
             logs.warn(
                 'chunks_not_staged',
                 model=staged.model,
@@ -248,7 +248,7 @@
         now = self._now()
         if ended.end in (None, OrderEnd.REFUSED):
             rollout.ordered_at = None
-            rollout.pause_until = now + staging.ORDER_PAUSE_S
+            rollout.pause_until = now + staging.ORDER_RETRY_S
         else:
             rollout.ordered_at = now
         logs.event(
@@ -321,11 +321,11 @@
             return True
         history = self._beliefs().history(rollout.model)
         named_at = versions.named_at(history, rollout.ready)
-        if staging.must_start(named_at, self.bounds.version_s, now):
+        if staging.must_load(named_at, self.bounds.version_s, now):
             return True
         name = rollout.name(rollout.ready)
         before = self._before(name)
-        known = pacing.Before(
+        known = pacing.Predecessor(
             is_open=before is not None
             and self._copying.is_served_by(before, name),
             gone=before in self._peers.unreachable(),
@@ -337,7 +337,7 @@
 
     def _before(self, name: str) -> str | None:
         """Give the agent whose load of a copy comes before ours."""
-        return pacing.before(
+        return pacing.predecessor(
             name, self._own.name, self._hosts, staging.LOADING_SHARE
         )
 
--- a/packages/burdockchute-agent/burdockchute_agent/weights_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/weights_task.py
@@ -281,9 +281,9 @@
             return
         while True:
             step = switching.next_step(self._situation(switch, now))
-            if isinstance(step, switching.Open):
+            if isinstance(step, switching.OpenGate):
                 self._open(switch, step.digest)
-            elif isinstance(step, switching.Shut):
+            elif isinstance(step, switching.CloseGate):
                 self._shut(switch, step.digest)
             else:
                 break
@@ -297,7 +297,7 @@
                 self.gate.is_open(weights_of(switch, digest)),
             )
 
-    def _situation(self, switch: RowSwitch, now: float) -> switching.Situation:
+    def _situation(self, switch: RowSwitch, now: float) -> switching.RowState:
         target = switch.target
         digest = target.digest if target else ''
         loaded = self._tracker.loaded(switch.kind, switch.name)
@@ -308,9 +308,9 @@
             == (switch.kind, switch.name)
         ]
         copy = self._copying.complete_copy(digest) if digest else None
-        return switching.Situation(
+        return switching.RowState(
             wanted=digest,
-            whole=copy is not None,
+            complete=copy is not None,
             loaded=loaded,
             loading=self._tracker.loading(switch.kind, switch.name),
             is_open=frozenset(g.weights.digest for g in gates if g.is_open),
@@ -318,7 +318,7 @@
             may_load=target is not None and self._may_load(switch, now),
             settled=target is not None and self._settled(target),
             base_loaded=target is not None and self._base_loaded(target),
-            beside=switch.fits_two_versions,
+            fits_two_versions=switch.fits_two_versions,
         )
 
     def _may_load(self, switch: RowSwitch, now: float) -> bool:
@@ -330,7 +330,7 @@
         if whole_since is None:
             return False
         name = switch.predecessor
-        known = pacing.Before(
+        known = pacing.Predecessor(
             is_open=name is not None
             and self._copying.is_served_by(name, digest),
             gone=name in self._peers.unreachable(),
--- a/packages/burdockchute-agent/tests/test_staged_reports.py
+++ b/packages/burdockchute-agent/tests/test_staged_reports.py
@@ -59,7 +59,7 @@
 
     def named(self, version, at):
         history = self.histories.get('story', versions.History())
-        history = versions.name(history, version, at)
+        history = versions.add_version(history, version, at)
         self.histories = {'story': history}
 
     def test_a_new_entry_is_told_of_the_newest_configuration(self):
--- a/packages/burdockchute-agent/tests/test_weights_parts.py
+++ b/packages/burdockchute-agent/tests/test_weights_parts.py
@@ -8,7 +8,7 @@
 
 from burdockchute.decisions import chunks
 from burdockchute.decisions import sources
-from burdockchute.decisions.neighbours import ELSEWHERE
+from burdockchute.decisions.neighbours import OTHER_REGION
 from burdockchute.decisions.switching import settle_s
 from burdockchute.upstreams.gate import Weights
 from burdockchute.upstreams.orders import EngineError
@@ -61,7 +61,7 @@
             0.0,
         )
         self.copier.origin_schedule.set_readers(
-            sources.readers('d', 'own', ['own', 'other'])
+            sources.reader_group('d', 'own', ['own', 'other'])
         )
 
     def begin(self) -> None:
@@ -156,7 +156,7 @@
         # all read at once when it is back it would have to carry a copy
         # for each of them.
         hosts = [f'a{number}' for number in range(30)]
-        readers = sources.readers('d', 'a7', hosts)
+        readers = sources.reader_group('d', 'a7', hosts)
         ranks = {sources.reader_rank(readers, index) for index in range(4)}
         self.assertNotIn(0, ranks)
         self.copier.origin_schedule.set_readers(readers)
@@ -176,7 +176,7 @@
         with mock.patch.object(sources, 'CHUNKS_AT_ONCE', 2):
             now = sources.GRACE_S
             self.copier.origin_schedule.chunks_found(1, now)
-            readers = sources.readers('d', 'own', ['own'])
+            readers = sources.reader_group('d', 'own', ['own'])
             self.copier.origin_schedule.set_readers(readers)
             self.assertEqual({ReadOrigin(0), ReadOrigin(1)}, self.plan(now))
             # A peer has told that it holds one of them.
@@ -189,7 +189,7 @@
         self.copier.max_reads = 4
         self.begin()
         with mock.patch.object(sources, 'CHUNKS_AT_ONCE', 1):
-            readers = sources.readers('d', 'own', ['own'])
+            readers = sources.reader_group('d', 'own', ['own'])
             self.copier.origin_schedule.set_readers(readers)
             now = sources.GRACE_S
             self.copier.origin_schedule.chunks_found(1, now)
@@ -204,13 +204,13 @@
         self.copier.imports.set_importers('own', ('own',))
         self.begin()
         now = sources.GRACE_S
-        readers = sources.readers('d', 'other', ['own', 'other'])
+        readers = sources.reader_group('d', 'other', ['own', 'other'])
         self.copier.origin_schedule.set_readers(readers._replace(own='own'))
         far = (1 << len(MANIFEST_OF.chunks)) - 1
-        self.copier.have_received('far', ELSEWHERE, have(far & ~1), now)
+        self.copier.have_received('far', OTHER_REGION, have(far & ~1), now)
         unknown = {a.chunk for a in self.plan(now) if is_read(a)}
         self.assertLessEqual(unknown, {0})
-        self.copier.have_received('far', ELSEWHERE, have(far), now)
+        self.copier.have_received('far', OTHER_REGION, have(far), now)
         asked = self.plan(now + 0.01)
         self.assertTrue(any(is_read(a) and a.chunk != 0 for a in asked))
 
--- a/packages/burdockchute-entry/burdockchute_entry/crashes_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/crashes_task.py
@@ -95,7 +95,7 @@
 
     def _pass_on(self, data: str) -> None:
         learned = decode(data, self._writer, self._now_unix())
-        if learned is not None and learned.age_s <= suspects.MEMORY_S:
+        if learned is not None and learned.age_s <= suspects.RECORD_TTL_S:
             self._publish(learned)
 
 
--- a/packages/burdockchute-entry/burdockchute_entry/links_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/links_task.py
@@ -24,7 +24,7 @@
 
 from burdockchute import logs
 from burdockchute.decisions import membership
-from burdockchute.decisions.membership import Heard
+from burdockchute.decisions.membership import LinkReport
 from burdockchute.decisions.membership import Membership
 from burdockchute.model import table as tables
 from burdockchute.model.changes import MembersChanged
@@ -121,7 +121,7 @@
         self._dialling: dict[str, float] = {}
         self._held_back: dict[str, list[Any]] = {}
         self._membership = Membership()
-        self._heard: dict[str, Heard] = {}
+        self._heard: dict[str, LinkReport] = {}
         self._wanted: frozenset[str] = frozenset()
         self._surplus: dict[str, float] = {}
         self._subset = SubsetTask(
@@ -197,7 +197,7 @@
         self._close_surplus(now)
 
     def _set_membership(self, state: Membership) -> None:
-        if state.short_since != self._membership.short_since:
+        if state.shrunk_since != self._membership.shrunk_since:
             logs.warn('instance_list_short', kept=len(state.members))
         self._membership = state
         if state.members == self.members:
@@ -357,9 +357,9 @@
             return
         member = self._member(name)
         if member is not None:
-            self._heard[name] = Heard(member, leaving)
+            self._heard[name] = LinkReport(member, leaving)
             self._set_membership(
-                membership.on_heard(self._membership, self._heard)
+                membership.on_link_reports(self._membership, self._heard)
             )
 
     def _answer_table(
--- a/packages/burdockchute-entry/burdockchute_entry/router.py
+++ b/packages/burdockchute-entry/burdockchute_entry/router.py
@@ -403,4 +403,4 @@
         self._intake.entries = event.entries
 
     def _crash_learned(self, event: CrashLearned) -> None:
-        self._suspects.learned(event, self._now())
+        self._suspects.peer_reported(event, self._now())
--- a/packages/burdockchute-entry/burdockchute_entry/straight/app.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/app.py
@@ -228,7 +228,7 @@
     def _crash_learned(self, learned: CrashLearned) -> None:
         seen = learned.seen
         logs.event('crash_learned', **seen._asdict())
-        self._suspects.learned(learned, time.monotonic())
+        self._suspects.peer_reported(learned, time.monotonic())
 
     def _keep_filling(self) -> None:
         while True:
--- a/packages/burdockchute-entry/burdockchute_entry/straight/known_targets.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/known_targets.py
@@ -133,7 +133,7 @@
 
     def ends_at(self, model: str, version: int) -> float | None:
         """Give when a version may begin nothing any more, None for never."""
-        return versions.ends_at(
+        return versions.start_deadline(
             self._beliefs.history(model), version, self.bounds.version_s
         )
 
@@ -327,7 +327,7 @@
             if version not in ends:
                 ends[version] = self.ends_at(spec.model, version)
             ends_at = ends[version]
-            return ends_at is None or versions.begins_in_time(
+            return ends_at is None or versions.starts_in_time(
                 ends_at, target.first_event_estimate_s(now), now
             )
 
--- a/packages/burdockchute-entry/burdockchute_entry/straight/sending.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/sending.py
@@ -292,7 +292,7 @@
         # page of last week's weights.
         if sent.conn in self._begun:
             return
-        if versions.must_stop(sent.begin_by, sent.at, now):
+        if versions.must_cancel(sent.begin_by, sent.at, now):
             raise Overtaken('its weights are replaced', False)
 
     # Ends.
--- a/packages/burdockchute-entry/burdockchute_entry/straight/slow_links.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/slow_links.py
@@ -32,7 +32,7 @@
 
     def record_first_event(self, service: str, first_event_s: float) -> None:
         """Note what a request took from its sending to its first event."""
-        self._usual_s[service] = slow_links.usual_begin_s(
+        self._usual_s[service] = slow_links.usual_start_s(
             self._usual_s.get(service, 0.0), first_event_s
         )
 
@@ -64,7 +64,7 @@
             case LinkTold(is_slow=slow):
                 if slow and not self._may_hold_one_more(event.agent, now):
                     return
-                state = slow_links.heard(before, slow, now)
+                state = slow_links.peer_reported(before, slow, now)
             case LinkLost():
                 state = LinkState()
         self._keep(event.agent, before, state)
@@ -93,8 +93,8 @@
             if not suspect:
                 return
             before = LinkState()
-        state = slow_links.looked_at(before, target.load.reported_at, now)
-        if slow_links.wants_probe(state, suspect):
+        state = slow_links.checked(before, target.load.reported_at, now)
+        if slow_links.should_probe(state, suspect):
             # To the microsecond, as it comes back.
             sent_at = round(now, 6)
             state = state._replace(probe_at=sent_at)
@@ -103,8 +103,8 @@
 
     def _tell_of(self, agent: str, now: float) -> None:
         state = self._states.get(agent)
-        if state is not None and slow_links.must_tell(state, now):
-            self._states[agent] = state._replace(told_at=now)
+        if state is not None and slow_links.must_report(state, now):
+            self._states[agent] = state._replace(reported_slow_at=now)
             self._ask(LinkTold(agent, True))
 
     def _keep(self, agent: str, before: LinkState, state: LinkState) -> None:
@@ -113,9 +113,13 @@
             logs.event(
                 'link_fast' if is_slow is None else 'link_slow', agent=agent
             )
-        if was_slow is not None and is_slow is None and before.told_at:
+        if (
+            was_slow is not None
+            and is_slow is None
+            and before.reported_slow_at
+        ):
             self._ask(LinkTold(agent, False))
-            state = state._replace(told_at=None)
+            state = state._replace(reported_slow_at=None)
         self._states[agent] = state
 
 
--- a/packages/burdockchute-entry/burdockchute_entry/table_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/table_task.py
@@ -220,7 +220,7 @@
         self._retry_s = RETRY_MIN_S
         self._next = loaded.next_offset
         self._note(loaded.findings)
-        self._snapshots = snapshots.begin(
+        self._snapshots = snapshots.initial_state(
             loaded.snapshot_as_of,
             loaded.edits,
             self._clock(),
@@ -246,7 +246,7 @@
         self._offered = None
         # Nothing is known of the snapshots in the log; any that has rows
         # counts as newer than this.
-        self._snapshots = snapshots.begin(
+        self._snapshots = snapshots.initial_state(
             0, 0, self._clock(), self._retention_s, self._rng
         )
         self._adopt(table, self._offered_confirmed_at, 'peer')
@@ -354,11 +354,11 @@
             if '"snapshot"' in record.data:
                 as_of = table_log.snapshot_as_of(record.data)
             if as_of > NO_OFFSET:
-                self._snapshots = snapshots.saw_snapshot(
+                self._snapshots = snapshots.on_snapshot(
                     self._snapshots, as_of, now, self._retention_s, self._rng
                 )
             else:
-                self._snapshots = snapshots.saw_edits(
+                self._snapshots = snapshots.on_edits(
                     self._snapshots, 1, now, self._rng
                 )
 
@@ -381,12 +381,12 @@
                 error=repr(appended.failure()),
             )
             # If it did take effect, it will be read and count then.
-            self._snapshots = snapshots.failed(
+            self._snapshots = snapshots.on_failure(
                 self._snapshots, self._clock(), self._rng
             )
             return
         logs.event('table_snapshot', as_of=table.offset, bytes=len(text))
-        self._snapshots = snapshots.saw_snapshot(
+        self._snapshots = snapshots.on_snapshot(
             self._snapshots,
             table.offset,
             self._clock(),
--- a/packages/burdockchute-entry/tests/test_agents_task.py
+++ b/packages/burdockchute-entry/tests/test_agents_task.py
@@ -63,7 +63,7 @@
     def believe(self, *named):
         history = versions.History()
         for version, at in named:
-            history = versions.name(history, version, at)
+            history = versions.add_version(history, version, at)
         histories = {'story': history} if named else {}
         self.task._take(self.beliefs._replace(histories=histories))
 
--- a/packages/burdockchute-entry/tests/test_links_subset.py
+++ b/packages/burdockchute-entry/tests/test_links_subset.py
@@ -44,7 +44,7 @@
 class LinksSubsetTest(unittest.TestCase):
     def setUp(self) -> None:
         for target, name, value in (
-            (subset, 'ALL_AGENTS', 0),
+            (subset, 'FULL_MESH_AGENTS', 0),
             (subset, 'MIN_HOSTS', 0),
             (links_task, 'SURPLUS_S', 0.0),
         ):
@@ -125,7 +125,7 @@
         dead = [a._replace(port=1) for a in self.agents if a.name in wanted]
         self.list.members = [own, *others, *alive, *dead]
         self.wait_for(lambda: len(self.task.members) == 1 + 9 + AGENTS)
-        gevent.sleep(3 * membership.LEAST_INTERVAL_S)
+        gevent.sleep(3 * membership.MIN_POLL_INTERVAL_S)
         self.assertEqual(len(wanted), len(self.linked()))
         self.list.members = [own, *others, *self.agents]
         self.wait_for(lambda: self.linked() == wanted)
--- a/packages/burdockchute-entry/tests/test_survey.py
+++ b/packages/burdockchute-entry/tests/test_survey.py
@@ -9,7 +9,7 @@
 import gevent
 
 from burdockchute.decisions.engine_placement import EngineView
-from burdockchute.decisions.listing import Known
+from burdockchute.decisions.listing import KnownUpstream
 from burdockchute.decisions.listing import UpstreamList
 from burdockchute.decisions.overload import Overload
 from burdockchute.decisions.placement import Work
@@ -116,7 +116,7 @@
         out together a moment later.
         """
         scheduler = Scheduler(BOUNDS, lambda: 0.0, random.Random(1))
-        known = {u.id: Known(u, 0) for u in upstreams()}
+        known = {u.id: KnownUpstream(u, 0) for u in upstreams()}
         scheduler.update(Beliefs(upstreams=UpstreamList(known, {})))
         for target in scheduler.targets():
             target.load.reserved_for = 'somebody else'
@@ -148,7 +148,10 @@
         most of those who come then it would be the same.
         """
         scheduler = Scheduler(BOUNDS, lambda: 0.0, random.Random(1))
-        known = {u.id: Known(u._replace(slots=16), 0) for u in upstreams()[:6]}
+        known = {
+            u.id: KnownUpstream(u._replace(slots=16), 0)
+            for u in upstreams()[:6]
+        }
         scheduler.update(Beliefs(upstreams=UpstreamList(known, {})))
         for target in scheduler.targets():
             target.load.report(12, 16, 1, 0.0, (), 0.0)
@@ -166,7 +169,7 @@
         themselves.
         """
         scheduler = Scheduler(BOUNDS, lambda: 0.0, random.Random(1))
-        known = {u.id: Known(u, 0) for u in upstreams()}
+        known = {u.id: KnownUpstream(u, 0) for u in upstreams()}
         scheduler.update(Beliefs(upstreams=UpstreamList(known, {})))
         with mock.patch.object(Overload, 'note', autospec=True) as note:
             for number in range(20):
@@ -184,7 +187,7 @@
     def setUp(self):
         self.now = 100.0
         self.scheduler = Scheduler(BOUNDS, lambda: self.now, random.Random(1))
-        known = {u.id: Known(u, 0) for u in upstreams()[:2]}
+        known = {u.id: KnownUpstream(u, 0) for u in upstreams()[:2]}
         self.scheduler.update(Beliefs(upstreams=UpstreamList(known, {})))
         patch = cost_is(COST)
         patch.start()
@@ -254,7 +257,7 @@
         self.now = 0.0
         self.scheduler = Scheduler(BOUNDS, lambda: self.now, random.Random(1))
         only = upstreams()[0]._replace(slots=1)
-        known = UpstreamList({only.id: Known(only, 0)}, {})
+        known = UpstreamList({only.id: KnownUpstream(only, 0)}, {})
         self.scheduler.update(Beliefs(upstreams=known))
         self.target = self.scheduler.targets()[0]
 
--- a/packages/burdockchute-testing/burdockchute_testing/benches/rollout_policies.py
+++ b/packages/burdockchute-testing/burdockchute_testing/benches/rollout_policies.py
@@ -11,7 +11,7 @@
 
 from burdockchute.decisions import chunks
 from burdockchute.decisions.hosting import ranked
-from burdockchute.decisions.sources import Readers
+from burdockchute.decisions.sources import ReaderGroup
 from burdockchute.model.members import Member
 from burdockchute_agent.policy import DEFAULT_POLICY
 from burdockchute_agent.policy import Policy
@@ -26,8 +26,10 @@
     return ()
 
 
-def _everyone_reads(digest: str, own: str, hosts: Sequence[str]) -> Readers:
-    return Readers(own, (own,), 0)
+def _everyone_reads(
+    digest: str, own: str, hosts: Sequence[str]
+) -> ReaderGroup:
+    return ReaderGroup(own, (own,), 0)
 
 
 def _chain_parent(
@@ -46,9 +48,9 @@
     return (order[(at - 1) // 2],) if at else ()
 
 
-def _head_reads(digest: str, own: str, hosts: Sequence[str]) -> Readers:
+def _head_reads(digest: str, own: str, hosts: Sequence[str]) -> ReaderGroup:
     is_head = _order(hosts)[:1] == [own]
-    return Readers(own, (own,), 0 if is_head else _NEVER)
+    return ReaderGroup(own, (own,), 0 if is_head else _NEVER)
 
 
 def _order(names: Sequence[str]) -> list[str]:
@@ -72,6 +74,6 @@
     **BASELINES,
     **{
         name: DEFAULT_POLICY._replace(choose=choose)
-        for name, choose in chunks.CHOICES.items()
+        for name, choose in chunks.CHUNK_POLICIES.items()
     },
 }
--- a/packages/burdockchute-testing/burdockchute_testing/emulator/site.py
+++ b/packages/burdockchute-testing/burdockchute_testing/emulator/site.py
@@ -11,7 +11,7 @@
 
 from burdockchute.decisions import admission
 from burdockchute.decisions import returning_callers
-from burdockchute.decisions.listing import Known
+from burdockchute.decisions.listing import KnownUpstream
 from burdockchute.decisions.listing import UpstreamList
 from burdockchute.decisions.placement import Work
 from burdockchute.decisions.routing import route_table
@@ -308,7 +308,7 @@
 
 def _beliefs_of(deployment: Deployment) -> Beliefs:
     known = {
-        f'i-{number}': Known(
+        f'i-{number}': KnownUpstream(
             Upstream(
                 id=f'i-{number}',
                 service=SERVICE,
--- a/packages/burdockchute-testing/burdockchute_testing/emulator/swarm.py
+++ b/packages/burdockchute-testing/burdockchute_testing/emulator/swarm.py
@@ -320,13 +320,13 @@
     def _is_our_turn(self, ready: int, now: float) -> bool:
         swarm = self._swarm
         named_at = versions.named_at(swarm.history, ready)
-        if staging.must_start(named_at, swarm.fleet.version_s, now):
+        if staging.must_load(named_at, swarm.fleet.version_s, now):
             return True
         name = copy_name(MODEL, ready)
-        before = pacing.before(
+        before = pacing.predecessor(
             name, self.name, swarm.names, staging.LOADING_SHARE
         )
-        known = pacing.Before(
+        known = pacing.Predecessor(
             before is not None and swarm.agents[before].version >= ready, False
         )
         since = self.whole_at.get(ready, now)
@@ -343,7 +343,7 @@
     def __init__(self, fleet: Fleet, seed: int = 1) -> None:
         self.fleet = fleet
         self.now = 0.0
-        self.history = versions.name(versions.History(), 1, -100.0)
+        self.history = versions.add_version(versions.History(), 1, -100.0)
         self.origin_chunks = 0
         self.closed_s = 0.0
         self.cut: set[str] = set()
@@ -389,7 +389,7 @@
         """Have a version named at a time."""
 
         def named(now: float) -> None:
-            self.history = versions.name(self.history, version, now)
+            self.history = versions.add_version(self.history, version, now)
 
         self.after(at - self.now, named)
 
--- a/packages/burdockchute/burdockchute/decisions/chunks.py
+++ b/packages/burdockchute/burdockchute/decisions/chunks.py
@@ -44,7 +44,7 @@
 # Counts of known holders for each chunk.
 Holders = Sequence[int]
 
-Choose = Callable[[Sequence[Offer], Holders, random.Random], Choice]
+ChunkPolicy = Callable[[Sequence[Offer], Holders, random.Random], Choice]
 
 
 def nearest(offers: Sequence[Offer]) -> list[Offer]:
@@ -111,7 +111,7 @@
     return Choice(offer.peer, _any_chunk(offer.useful, rng))
 
 
-CHOICES: dict[str, Choose] = {
+CHUNK_POLICIES: dict[str, ChunkPolicy] = {
     'uniform': uniform,
     'least-loaded': least_loaded,
     'rarest': rarest_first,
@@ -121,10 +121,10 @@
 }
 
 
-def bits(bitmap: int) -> Iterator[int]:
+def set_bits(bitmap: int) -> Iterator[int]:
     """Give the places of the bits that are set.
 
-    >>> list(bits(0b1011))
+    >>> list(set_bits(0b1011))
     [0, 1, 3]
     """
     while bitmap:
@@ -148,7 +148,7 @@
         union |= offer.useful
     fewest = None
     found: list[int] = []
-    for chunk in bits(union):
+    for chunk in set_bits(union):
         count = holders[chunk]
         if fewest is None or count < fewest:
             fewest = count
--- a/packages/burdockchute/burdockchute/decisions/flow.py
+++ b/packages/burdockchute/burdockchute/decisions/flow_control.py
@@ -13,65 +13,71 @@
 from typing import NamedTuple
 
 # Enough for a link of 10 Mbit/s at the delay between two regions.
-WINDOW = 2
+WINDOW_FRAGMENTS = 2
 
 # A fragment that takes longer stands in a queue. 64 KiB, what four senders
 # have out, pass a link of 4.7 Mbit/s in 0.11 s.
-TARGET_S = 0.12
+TARGET_DELAY_S = 0.12
 
 # No pause is longer: a link that was cut for a moment is used again.
 MAX_PAUSE_S = 0.5
 
 
-class Flow(NamedTuple):
+class FlowState(NamedTuple):
     """When each fragment that is out was sent, and until when to pause."""
 
-    out: tuple[float, ...] = ()
+    unacknowledged: tuple[float, ...] = ()
     pause_until: float = 0.0
 
 
-def sent(flow: Flow, now: float) -> Flow:
+def sent(flow: FlowState, now: float) -> FlowState:
     """Give the flow after one more fragment was sent."""
-    return flow._replace(out=(*flow.out, now))
+    return flow._replace(unacknowledged=(*flow.unacknowledged, now))
 
 
-def acknowledged(flow: Flow, now: float) -> Flow:
+def acknowledged(flow: FlowState, now: float) -> FlowState:
     """Give the flow after the oldest fragment was acknowledged.
 
-    >>> acknowledged(Flow(out=(5.0,)), 5.05)
-    Flow(out=(), pause_until=0.0)
-    >>> acknowledged(Flow(out=(5.0,)), 5.25).pause_until
+    >>> acknowledged(FlowState(unacknowledged=(5.0,)), 5.05)
+    FlowState(unacknowledged=(), pause_until=0.0)
+    >>> acknowledged(FlowState(unacknowledged=(5.0,)), 5.25).pause_until
     5.5
     """
-    if not flow.out:
+    if not flow.unacknowledged:
         return flow
-    delay_s = now - flow.out[0]
+    delay_s = now - flow.unacknowledged[0]
     pause_until = flow.pause_until
-    if delay_s > TARGET_S:
+    if delay_s > TARGET_DELAY_S:
         pause_until = now + min(delay_s, MAX_PAUSE_S)
-    return Flow(flow.out[1:], pause_until)
+    return FlowState(flow.unacknowledged[1:], pause_until)
 
 
-def is_slow(flow: Flow, now: float) -> bool:
+def is_slow(flow: FlowState, now: float) -> bool:
     """Tell whether the link takes less than it is sent.
 
-    >>> is_slow(Flow(out=(5.0,)), 5.1), is_slow(Flow(out=(5.0,)), 5.2)
+    >>> flow = FlowState(unacknowledged=(5.0,))
+    >>> is_slow(flow, 5.1), is_slow(flow, 5.2)
     (False, True)
     """
-    is_overdue = bool(flow.out) and now - flow.out[0] > TARGET_S
+    is_overdue = (
+        bool(flow.unacknowledged)
+        and now - flow.unacknowledged[0] > TARGET_DELAY_S
+    )
     return is_overdue or now < flow.pause_until
 
 
-def wait_s(flow: Flow, now: float) -> float | None:
+def wait_s(flow: FlowState, now: float) -> float | None:
     """Give how long until a fragment may be sent.
 
     None until one is acknowledged.
 
-    >>> wait_s(Flow(out=(5.0,)), 5.1), wait_s(Flow(out=(5.0, 5.0)), 5.1)
-    (0.0, None)
-    >>> wait_s(Flow(pause_until=5.5), 5.25)
+    >>> wait_s(FlowState(unacknowledged=(5.0,)), 5.1)
+    0.0
+    >>> wait_s(FlowState(unacknowledged=(5.0, 5.0)), 5.1) is None
+    True
+    >>> wait_s(FlowState(pause_until=5.5), 5.25)
     0.25
     """
-    if len(flow.out) >= WINDOW:
+    if len(flow.unacknowledged) >= WINDOW_FRAGMENTS:
         return None
     return max(0.0, flow.pause_until - now)
--- a/packages/burdockchute/burdockchute/decisions/listing.py
+++ b/packages/burdockchute/burdockchute/decisions/listing.py
@@ -46,18 +46,18 @@
 SETTLE_S = 2.1
 # The first reading after the return may come before the store has taken out
 # what lapsed.
-LAPSE_S = 0.3
+LATE_EXPIRY_S = 0.3
 
 
-class Known(NamedTuple):
-    """One upstream; `lapsed_at` is set while it is missing from the list."""
+class KnownUpstream(NamedTuple):
+    """One upstream; `expired_at` is set while it is missing from the list."""
 
     upstream: Upstream
     position: Position
-    lapsed_at: float | None = None
+    expired_at: float | None = None
 
 
-class Gone(NamedTuple):
+class DroppedUpstream(NamedTuple):
     """An upstream that was dropped, and the last record of it."""
 
     upstream: Upstream
@@ -67,16 +67,16 @@
 class UpstreamList(NamedTuple):
     """All known upstreams by id.
 
-    What lapses before `lapses_until` is kept to `settles_at`; `gone`
-    remembers who was dropped, `at_endpoint` who was listed last at each
+    What lapses before `expires_until` is kept to `settles_at`; `gone`
+    remembers who was dropped, `ids_by_endpoint` who was listed last at each
     address.
     """
 
-    known: dict[str, Known]
-    gone: dict[str, Gone]
+    known: dict[str, KnownUpstream]
+    gone: dict[str, DroppedUpstream]
     settles_at: float = float('-inf')
-    lapses_until: float = float('-inf')
-    at_endpoint: Mapping[Endpoint, str] = MappingProxyType({})
+    expires_until: float = float('-inf')
+    ids_by_endpoint: Mapping[Endpoint, str] = MappingProxyType({})
 
 
 def empty() -> UpstreamList:
@@ -84,10 +84,10 @@
     return UpstreamList({}, {})
 
 
-def on_return(listed: UpstreamList, now: float) -> UpstreamList:
+def on_store_return(listed: UpstreamList, now: float) -> UpstreamList:
     """Note that the store answers again after an outage."""
     return listed._replace(
-        settles_at=now + SETTLE_S, lapses_until=now + LAPSE_S
+        settles_at=now + SETTLE_S, expires_until=now + LATE_EXPIRY_S
     )
 
 
@@ -106,8 +106,11 @@
             return listed
         listed = _without(listed, rival.upstream.id, rival.position)
     return listed._replace(
-        known={**listed.known, upstream.id: Known(upstream, position)},
-        at_endpoint={**listed.at_endpoint, upstream.endpoint: upstream.id},
+        known={**listed.known, upstream.id: KnownUpstream(upstream, position)},
+        ids_by_endpoint={
+            **listed.ids_by_endpoint,
+            upstream.endpoint: upstream.id,
+        },
     )
 
 
@@ -118,13 +121,13 @@
     old = listed.known.get(entry.id)
     if old is None or entry.position < old.position:
         return listed
-    if now < listed.lapses_until:
-        lapsed = old._replace(position=entry.position, lapsed_at=now)
+    if now < listed.expires_until:
+        lapsed = old._replace(position=entry.position, expired_at=now)
         return listed._replace(known={**listed.known, entry.id: lapsed})
     return _without(listed, entry.id, entry.position)
 
 
-def on_whole(
+def on_complete_list(
     listed: UpstreamList, names: set[str], position: Position, now: float
 ) -> UpstreamList:
     """Take in that the list names these ids and no others.
@@ -145,12 +148,12 @@
     now: float,
 ) -> UpstreamList:
     """Take in the whole list of a store that came back from a copy."""
-    listed = on_return(listed, now)
+    listed = on_store_return(listed, now)
     for entry in entries:
         upstream = entry.upstream
         old = listed.known.get(upstream.id)
         if old is not None and not _started_later(old.upstream, upstream):
-            merged = Known(
+            merged = KnownUpstream(
                 _merged(old.upstream, upstream),
                 max(old.position, entry.position),
             )
@@ -159,30 +162,32 @@
         elif _is_newer_than_known(listed, upstream):
             listed = on_listed(listed, entry)
     names = {entry.upstream.id for entry in entries}
-    return on_whole(listed, names, position, now)
+    return on_complete_list(listed, names, position, now)
 
 
-def on_time(listed: UpstreamList, now: float) -> UpstreamList:
+def on_tick(listed: UpstreamList, now: float) -> UpstreamList:
     """Drop those that lapsed and have not come back in time."""
     if now < listed.settles_at:
         return listed
     overdue = [
         (name, known.position)
         for name, known in listed.known.items()
-        if known.lapsed_at is not None
+        if known.expired_at is not None
     ]
     for name, position in overdue:
         listed = _without(listed, name, position)
     return listed
 
 
-def _rival(listed: UpstreamList, upstream: Upstream) -> Known | None:
+def _rival(listed: UpstreamList, upstream: Upstream) -> KnownUpstream | None:
     """Give another upstream that is listed at the same address."""
-    name = listed.at_endpoint.get(upstream.endpoint, upstream.id)
+    name = listed.ids_by_endpoint.get(upstream.endpoint, upstream.id)
     return listed.known.get(name) if name != upstream.id else None
 
 
-def _follows(old: Known, upstream: Upstream, position: Position) -> bool:
+def _follows(
+    old: KnownUpstream, upstream: Upstream, position: Position
+) -> bool:
     before, after = old.upstream.started_ms, upstream.started_ms
     if before is not None and after is not None and before != after:
         return after > before
@@ -219,6 +224,6 @@
 def _without(
     listed: UpstreamList, name: str, position: Position
 ) -> UpstreamList:
-    left = Gone(listed.known[name].upstream, position)
+    left = DroppedUpstream(listed.known[name].upstream, position)
     known = {n: k for n, k in listed.known.items() if n != name}
     return listed._replace(known=known, gone={**listed.gone, name: left})
--- a/packages/burdockchute/burdockchute/decisions/membership.py
+++ b/packages/burdockchute/burdockchute/decisions/membership.py
@@ -39,10 +39,10 @@
 # with 12,000; leaving does not wait for it, as agents tell it themselves.
 LIST_ITEM_BYTES = 160
 LIST_BYTES_PER_S = 10_000
-LEAST_INTERVAL_S = 0.5
+MIN_POLL_INTERVAL_S = 0.5
 
 
-class Heard(NamedTuple):
+class LinkReport(NamedTuple):
     """What an open link says of the instance at its other end."""
 
     member: Member
@@ -50,21 +50,21 @@
 
 
 class Membership(NamedTuple):
-    """Members by name order; `short_since` while the list is not believed."""
+    """Members by name order; `shrunk_since` while the list is not believed."""
 
     members: tuple[Member, ...] = ()
-    short_since: float | None = None
+    shrunk_since: float | None = None
 
 
 def poll_interval_s(count: int) -> float:
     """Give how long to wait between readings of a list of that length."""
-    return max(LEAST_INTERVAL_S, count * LIST_ITEM_BYTES / LIST_BYTES_PER_S)
+    return max(MIN_POLL_INTERVAL_S, count * LIST_ITEM_BYTES / LIST_BYTES_PER_S)
 
 
 def on_list(
     known: Membership,
     listed: Sequence[Member],
-    heard: Mapping[str, Heard],
+    heard: Mapping[str, LinkReport],
     now: float,
 ) -> Membership:
     """Give the members after a reading of the list."""
@@ -72,21 +72,23 @@
     names = {member.name for member in listed}
     missing = sum(member.name not in names for member in before)
     if missing > SHRINK_SHARE * len(known.members):
-        since = known.short_since if known.short_since is not None else now
+        since = known.shrunk_since if known.shrunk_since is not None else now
         if now - since < SHRINK_CONFIRM_S:
             kept = {member.name: member for member in known.members}
             kept |= {member.name: member for member in listed}
-            return Membership(join(list(kept.values()), heard), since)
-    return Membership(join(listed, heard))
+            return Membership(merge(list(kept.values()), heard), since)
+    return Membership(merge(listed, heard))
 
 
-def on_heard(known: Membership, heard: Mapping[str, Heard]) -> Membership:
+def on_link_reports(
+    known: Membership, heard: Mapping[str, LinkReport]
+) -> Membership:
     """Give the members after links told something between two readings."""
-    return known._replace(members=join(known.members, heard))
+    return known._replace(members=merge(known.members, heard))
 
 
-def join(
-    listed: Sequence[Member], heard: Mapping[str, Heard]
+def merge(
+    listed: Sequence[Member], heard: Mapping[str, LinkReport]
 ) -> tuple[Member, ...]:
     """Take list and links together, by name order."""
     joined = {member.name: member for member in listed}
--- a/packages/burdockchute/burdockchute/decisions/neighbours.py
+++ b/packages/burdockchute/burdockchute/decisions/neighbours.py
@@ -27,13 +27,13 @@
 
 SAME_ZONE = 0
 SAME_REGION = 1
-ELSEWHERE = 2
+OTHER_REGION = 2
 
 
 def distance(own: Place, other: Place) -> int:
     """Give SAME_ZONE, SAME_REGION or ELSEWHERE."""
     if own.region != other.region:
-        return ELSEWHERE
+        return OTHER_REGION
     return SAME_ZONE if own.zone == other.zone else SAME_REGION
 
 
--- a/packages/burdockchute/burdockchute/decisions/pacing.py
+++ b/packages/burdockchute/burdockchute/decisions/pacing.py
@@ -26,10 +26,10 @@
 
 # Longer than an engine takes to load from the process beside it, shorter
 # than the minutes in which a rollout is to end.
-OVERDUE_S = 10.0
+PREDECESSOR_TIMEOUT_S = 10.0
 
 
-class Before(NamedTuple):
+class Predecessor(NamedTuple):
     """What is known of the agent whose turn comes before ours.
 
     `is_open` tells that it serves the version, `gone` that no link to it can
@@ -40,33 +40,35 @@
     gone: bool
 
 
-def at_a_time(share: float, replicas: int) -> int:
+def max_concurrent_loads(share: float, replicas: int) -> int:
     """Give how many replicas may load at once, at least one.
 
-    >>> at_a_time(0.25, 100), at_a_time(0.25, 3), at_a_time(1.0, 8)
-    (25, 1, 8)
+    >>> max_concurrent_loads(0.25, 100), max_concurrent_loads(0.25, 3)
+    (25, 1)
+    >>> max_concurrent_loads(1.0, 8)
+    8
     """
     return max(1, math.floor(share * replicas))
 
 
-def before(
+def predecessor(
     key: str, name: str, hosts: Sequence[str], share: float
 ) -> str | None:
     """Give whose turn comes before, None for the first of each lane."""
     order = ranked(key, hosts)
     if name not in order:
         return None
-    position = order.index(name) - at_a_time(share, len(order))
+    position = order.index(name) - max_concurrent_loads(share, len(order))
     return order[position] if position >= 0 else None
 
 
 def may_load(
     watched: str | None,
-    known: Before,
-    whole_since: float,
+    known: Predecessor,
+    complete_since: float,
     now: float,
 ) -> bool:
-    """Tell whether it is our turn; `whole_since` is when our copy ended."""
+    """Tell whether it is our turn; `complete_since` is when our copy ended."""
     if watched is None or known.is_open or known.gone:
         return True
-    return now - whole_since > OVERDUE_S
+    return now - complete_since > PREDECESSOR_TIMEOUT_S
--- a/packages/burdockchute/burdockchute/decisions/slow_links.py
+++ b/packages/burdockchute/burdockchute/decisions/slow_links.py
@@ -20,8 +20,8 @@
 SLOW_S = 0.3
 
 # Another entry's word is trusted for so long, and repeated twice in that time.
-NEWS_HOLD_S = 1.0
-RENEW_S = 0.45
+PEER_REPORT_VALID_S = 1.0
+REPORT_INTERVAL_S = 0.45
 
 # A probe that is still out after this says more of the agent than of its link.
 MAX_HOLD_S = 3.0
@@ -37,20 +37,20 @@
     """What is known of the link to one agent; times are monotonic seconds.
 
     `probe_at` is when the probe was sent that is out, `slow_at` when our own
-    probe has last shown a slow link, `told_at` when the other entries were
-    last told so.
+    probe has last shown a slow link, `reported_slow_at` when that was last
+    reported to the other entries.
     """
 
     probe_at: float | None = None
     slow_at: float | None = None
-    told_at: float | None = None
-    news_until: float = float('-inf')
+    reported_slow_at: float | None = None
+    peer_reported_until: float = float('-inf')
 
 
-def usual_begin_s(before: float, began_in_s: float) -> float:
+def usual_start_s(before: float, began_in_s: float) -> float:
     """Give the usual time to begin after one more request has begun.
 
-    >>> usual_begin_s(0.0, 0.2), round(usual_begin_s(0.2, 0.4), 2)
+    >>> usual_start_s(0.0, 0.2), round(usual_start_s(0.2, 0.4), 2)
     (0.2, 0.21)
     """
     if not before:
@@ -67,18 +67,18 @@
     return waits_s > max(LEAST_SUSPECT_S, SUSPECT_RATIO * usual_s)
 
 
-def looked_at(state: LinkState, reported_at: float, now: float) -> LinkState:
+def checked(state: LinkState, reported_at: float, now: float) -> LinkState:
     """Give the state as of now; `reported_at` is when the agent last told.
 
     An agent that reports and does not return the probe stands behind a slow
     link; one that does neither is paused, and its engine may well serve.
 
     >>> state = LinkState(probe_at=5.0)
-    >>> looked_at(state, 5.2, 5.4).slow_at, looked_at(state, 4.9, 5.4).slow_at
+    >>> checked(state, 5.2, 5.4).slow_at, checked(state, 4.9, 5.4).slow_at
     (5.4, None)
     """
     if state.slow_at is not None and now - state.slow_at > MAX_HOLD_S:
-        return LinkState(news_until=state.news_until)
+        return LinkState(peer_reported_until=state.peer_reported_until)
     if state.probe_at is None or now - state.probe_at <= SLOW_S:
         return state
     if state.slow_at is None and reported_at > state.probe_at:
@@ -93,38 +93,40 @@
 
     >>> is_held(LinkState(slow_at=5.0), 5.5), is_held(LinkState(), 5.5)
     (True, False)
-    >>> is_held(LinkState(news_until=6.0), 5.5)
+    >>> is_held(LinkState(peer_reported_until=6.0), 5.5)
     True
     """
-    return state.slow_at is not None or now < state.news_until
+    return state.slow_at is not None or now < state.peer_reported_until
 
 
-def wants_probe(state: LinkState, suspect: bool) -> bool:
+def should_probe(state: LinkState, suspect: bool) -> bool:
     """Tell whether a probe is to be sent; one at a time is out.
 
-    >>> wants_probe(LinkState(), True), wants_probe(LinkState(), False)
+    >>> should_probe(LinkState(), True), should_probe(LinkState(), False)
     (True, False)
-    >>> wants_probe(LinkState(slow_at=5.0), False)
+    >>> should_probe(LinkState(slow_at=5.0), False)
     True
     """
     return state.probe_at is None and (suspect or state.slow_at is not None)
 
 
-def must_tell(state: LinkState, now: float) -> bool:
+def must_report(state: LinkState, now: float) -> bool:
     """Tell whether the other entries are to hear of a slow link now.
 
     >>> state = LinkState(slow_at=5.0)
-    >>> must_tell(state, 5.0), must_tell(state._replace(told_at=5.0), 5.1)
-    (True, False)
-    >>> must_tell(state._replace(news_until=6.0), 5.1)
+    >>> must_report(state, 5.0)
+    True
+    >>> must_report(state._replace(reported_slow_at=5.0), 5.1)
+    False
+    >>> must_report(state._replace(peer_reported_until=6.0), 5.1)
     False
     """
     if state.slow_at is None:
         return False
-    if state.told_at is None:
+    if state.reported_slow_at is None:
         # Whoever has told us goes on telling.
-        return now >= state.news_until
-    return now - state.told_at >= RENEW_S
+        return now >= state.peer_reported_until
+    return now - state.reported_slow_at >= REPORT_INTERVAL_S
 
 
 def probe_returned(state: LinkState, sent_at: float, now: float) -> LinkState:
@@ -134,8 +136,9 @@
 
     >>> probe_returned(LinkState(probe_at=5.0, slow_at=5.4), 5.0, 5.6).slow_at
     5.6
-    >>> probe_returned(LinkState(probe_at=5.7, slow_at=5.6), 5.7, 5.8)
-    LinkState(probe_at=None, slow_at=None, told_at=None, news_until=-inf)
+    >>> state = LinkState(probe_at=5.7, slow_at=5.6)
+    >>> probe_returned(state, 5.7, 5.8) == LinkState()
+    True
     """
     if state.probe_at != sent_at:
         return state
@@ -144,13 +147,15 @@
     return LinkState()
 
 
-def heard(state: LinkState, slow: bool, now: float) -> LinkState:
+def peer_reported(state: LinkState, slow: bool, now: float) -> LinkState:
     """Take in what another entry says of the link.
 
-    >>> heard(LinkState(), True, 5.0).news_until
+    >>> peer_reported(LinkState(), True, 5.0).peer_reported_until
     6.0
     """
-    return state._replace(news_until=now + NEWS_HOLD_S if slow else now)
+    return state._replace(
+        peer_reported_until=now + PEER_REPORT_VALID_S if slow else now
+    )
 
 
 def may_hold(held: int, known: int) -> bool:
--- a/packages/burdockchute/burdockchute/decisions/snapshots.py
+++ b/packages/burdockchute/burdockchute/decisions/snapshots.py
@@ -45,7 +45,7 @@
     due_at: float
 
 
-def begin(
+def initial_state(
     as_of: int, edits: int, now: float, retention_s: float, rng: random.Random
 ) -> SnapshotState:
     """Give the state after a start.
@@ -61,7 +61,7 @@
     return _bounded(SnapshotState(as_of, edits, due_at), now, rng)
 
 
-def saw_snapshot(
+def on_snapshot(
     state: SnapshotState,
     as_of: int,
     now: float,
@@ -80,7 +80,7 @@
     return SnapshotState(as_of, 0, due_at)
 
 
-def saw_edits(
+def on_edits(
     state: SnapshotState, count: int, now: float, rng: random.Random
 ) -> SnapshotState:
     """Note records after the newest snapshot."""
@@ -92,7 +92,7 @@
     return _bounded(counted, now, rng)
 
 
-def failed(
+def on_failure(
     state: SnapshotState, now: float, rng: random.Random
 ) -> SnapshotState:
     """Note that the log did not take ours."""
--- a/packages/burdockchute/burdockchute/decisions/sources.py
+++ b/packages/burdockchute/burdockchute/decisions/sources.py
@@ -27,14 +27,14 @@
 
 # So many agents share the reading of one set of weights. More would spread
 # it no better, and the order for each chunk costs one hash for each reader.
-READERS = 64
+READERS_PER_GROUP = 64
 # A thin origin that serves all its readers at once ends all their reads late,
 # and where it fails none has come. So few chunks are read at a time, in their
 # order; with fewer than this the origin idles until news of a chunk is there.
 CHUNKS_AT_ONCE = 12
 # A chunk that is read in its order is taken over from its reader after this
 # many times what a read takes.
-READS_TO_WAIT = 3.0
+TAKEOVER_READS = 3.0
 # While no new chunk turns up, as many more may be read each time this passes.
 STALLED_S = 0.6
 # If so many readers in a row are silent the whole group is taken for dead
@@ -47,7 +47,7 @@
 # Above the time for a chunk to go from its reader through a few neighbours.
 MIN_WAIT_S = 1.0
 MAX_WAIT_S = 20.0
-GAPS = 4.0
+STALL_INTERVALS = 4.0
 
 # Bytes between regions are dear and their links narrow, so each chunk comes
 # over once for all agents of a region. Those that are not first in its order
@@ -59,7 +59,7 @@
 MAX_BACKOFF_S = 2.0
 # Where a version has to be in force within seconds, and few agents read the
 # origin for each region, its return is looked for more often.
-HASTY_BACKOFF_S = 0.5
+URGENT_BACKOFF_S = 0.5
 
 # A request to a peer is overdue after so many times the usual latency.
 DEADLINE_FACTOR = 4.0
@@ -75,48 +75,50 @@
 MAX_AVOID_S = 30.0
 
 
-class Readers(NamedTuple):
+class ReaderGroup(NamedTuple):
     """The order in which agents may read from the origin.
 
-    `group` is the group of the own agent, `names` who is in it, and `step`
-    the position of the group among all groups. `absent` are those of them
-    that can't be reached; the others keep their turns.
+    `names` are the members of the own agent's group in their order and
+    `group_index` is the position of the group among all groups. Members in
+    `unreachable` are skipped; the others keep their turns.
     """
 
     own: str
     names: tuple[str, ...]
-    step: int
-    absent: frozenset[str] = frozenset()
+    group_index: int
+    unreachable: frozenset[str] = frozenset()
 
 
-class Progress(NamedTuple):
+class ChunkArrivals(NamedTuple):
     """How new chunks turn up near here.
 
-    `last` is when the last one did, or when waiting began; `gap` is the
+    `last` is when the last one did, or when waiting began; `interval_s` is the
     usual time between two, 0 while it is not known.
     """
 
     last: float
-    gap: float
+    interval_s: float
 
 
-def readers(digest: str, own: str, hosts: Sequence[str]) -> Readers:
+def reader_group(digest: str, own: str, hosts: Sequence[str]) -> ReaderGroup:
     """Give the own agent's group of readers for a digest."""
     order = ranked(digest, hosts)
-    step = order.index(own) // READERS if own in order else 0
-    start = step * READERS
-    return Readers(own, tuple(order[start : start + READERS]), step)
+    group_index = order.index(own) // READERS_PER_GROUP if own in order else 0
+    start = group_index * READERS_PER_GROUP
+    return ReaderGroup(
+        own, tuple(order[start : start + READERS_PER_GROUP]), group_index
+    )
 
 
-def reader_rank(known: Readers, chunk: int) -> int:
+def reader_rank(known: ReaderGroup, chunk: int) -> int:
     """Give how many of the own group come before the own agent.
 
     Chunks are dealt out in turn, so that nobody has more to read than others.
 
-    >>> readers = Readers('b', ('a', 'b', 'c'), 0)
-    >>> [reader_rank(readers, chunk) for chunk in range(4)]
+    >>> group = ReaderGroup('b', ('a', 'b', 'c'), 0)
+    >>> [reader_rank(group, chunk) for chunk in range(4)]
     [1, 0, 2, 1]
-    >>> reader_rank(readers._replace(absent=frozenset('a')), 0)
+    >>> reader_rank(group._replace(unreachable=frozenset('a')), 0)
     0
     """
     names = known.names
@@ -125,39 +127,41 @@
     first = chunk % len(names)
     own = names.index(known.own)
     before = names[first:own] if first <= own else names[first:] + names[:own]
-    return sum(1 for name in before if name not in known.absent)
+    return sum(1 for name in before if name not in known.unreachable)
 
 
-def chunks_at_once(progress: Progress, now: float) -> int:
+def chunks_at_once(progress: ChunkArrivals, now: float) -> int:
     """Give how many unknown chunks may be read at a time, in their order.
 
-    >>> chunks_at_once(Progress(5.0, 0.1), 5.2)
+    >>> chunks_at_once(ChunkArrivals(5.0, 0.1), 5.2)
     12
-    >>> chunks_at_once(Progress(5.0, 0.1), 6.3)
+    >>> chunks_at_once(ChunkArrivals(5.0, 0.1), 6.3)
     36
     """
     stalled_s = max(0.0, now - progress.last)
     return CHUNKS_AT_ONCE * (1 + int(stalled_s / STALLED_S))
 
 
-def take_over_s(rank: int, read_s: float) -> float:
+def takeover_delay_s(rank: int, read_s: float) -> float:
     """Give how long a chunk may be unread before this agent reads it.
 
     `read_s` is what this agent's own reads take. Others take as long, so a
     chunk that does not turn up has a reader that is gone.
 
-    >>> take_over_s(0, 0.5), take_over_s(2, 0.1), take_over_s(1, 2.0)
-    (0.0, 2.0, 6.0)
+    >>> takeover_delay_s(0, 0.5), takeover_delay_s(2, 0.1)
+    (0.0, 2.0)
+    >>> takeover_delay_s(1, 2.0)
+    6.0
     """
-    return rank * max(MIN_WAIT_S, READS_TO_WAIT * read_s)
+    return rank * max(MIN_WAIT_S, TAKEOVER_READS * read_s)
 
 
-def copies_of(allowed: float, chunk: int) -> int:
+def readers_per_chunk(allowed: float, chunk: int) -> int:
     """Give how many agents read a chunk at once, over 0.
 
     A fraction allows one copy more of part of the chunks, evenly spread.
 
-    >>> [copies_of(1.5, chunk) for chunk in range(4)]
+    >>> [readers_per_chunk(1.5, chunk) for chunk in range(4)]
     [1, 2, 1, 2]
     """
     whole = max(1, int(allowed))
@@ -166,22 +170,22 @@
     return whole + extra
 
 
-def read_after(
+def earliest_read_at(
     rank: int,
-    step: int,
+    group_index: int,
     copies: int,
     began: float,
-    progress: Progress,
+    progress: ChunkArrivals,
 ) -> float:
     """Give the time from which this agent may read a chunk.
 
     It may do so only while no neighbour has the chunk.
     """
-    if step == 0 and rank < copies:
+    if group_index == 0 and rank < copies:
         return began + GRACE_S
-    turn = 1 + rank - copies if step == 0 else rank
-    waits = max(0, turn) + step * GROUP_STEPS + (step > 0)
-    return max(progress.last, began + GRACE_S) + waits * wait_s(progress)
+    turn = 1 + rank - copies if group_index == 0 else rank
+    waits = max(0, turn) + group_index * GROUP_STEPS + (group_index > 0)
+    return max(progress.last, began + GRACE_S) + waits * stall_wait_s(progress)
 
 
 def may_import(rank: int, seen_at: float, now: float) -> bool:
@@ -193,17 +197,21 @@
     return now >= seen_at + rank * IMPORT_WAIT_S
 
 
-def wait_s(progress: Progress) -> float:
+def stall_wait_s(progress: ChunkArrivals) -> float:
     """Give how long a missing chunk may stay away before the next reads."""
-    return min(max(MIN_WAIT_S, GAPS * progress.gap), MAX_WAIT_S)
+    return min(
+        max(MIN_WAIT_S, STALL_INTERVALS * progress.interval_s), MAX_WAIT_S
+    )
 
 
-def turned_up(progress: Progress, now: float) -> Progress:
+def on_new_chunk(progress: ChunkArrivals, now: float) -> ChunkArrivals:
     """Note that a chunk unknown so far is held by somebody near."""
-    return Progress(now, smooth(progress.gap, now - progress.last))
+    return ChunkArrivals(
+        now, moving_average(progress.interval_s, now - progress.last)
+    )
 
 
-def smooth(average: float, sample: float) -> float:
+def moving_average(average: float, sample: float) -> float:
     """Give a moving average; the first sample counts whole."""
     return sample if average <= 0 else average + 0.2 * (sample - average)
 
--- a/packages/burdockchute/burdockchute/decisions/staging.py
+++ b/packages/burdockchute/burdockchute/decisions/staging.py
@@ -26,14 +26,14 @@
 
 # A copy of which the agents hold less between them says too little of when it
 # will be whole.
-FEW_KNOWN = 0.25
+MIN_KNOWN_SHARE = 0.25
 # Time of a copy over an idle link, as a multiple of that of its bytes alone;
 # the last chunks come one after the other.
 COPY_SLACK = 1.2
 # The same for a copy of which nobody holds anything: it waits for the origin.
 FRESH_COPY_SLACK = 1.3
 # Turning to another copy for less than this would be undone by the next look.
-LEAST_GAIN_S = 0.5
+MIN_GAIN_S = 0.5
 # The origin gives out a share of FEW_KNOWN within this time, or is away.
 ORIGIN_SILENT_S = 1.5
 
@@ -49,34 +49,34 @@
 
 # From this long before an older version may begin nothing any more, waiting
 # for one's turn saves nothing: requests go there no longer.
-LAST_CALL_S = 1.0
+FINAL_LOAD_S = 1.0
 
 # An engine that refused an order may be busy with what it runs; asking again
 # at once would only cost an order.
-ORDER_PAUSE_S = 0.25
+ORDER_RETRY_S = 0.25
 # After an order the engine's own word is waited for; if it neither loads nor
 # holds the version by then, the order was lost.
-ORDER_LOST_S = 1.0
+ORDER_TIMEOUT_S = 1.0
 
 
-class Progress(NamedTuple):
+class CopyProgress(NamedTuple):
     """The copy under way: its version and which share of it is held.
 
-    It has been under way for `copying_s`; after `useful_s` the version that
-    serves now may begin nothing any more. `known` is the share that this
-    instance and its peers hold, `link_s` what a whole copy takes over its
-    link at the least.
+    It has been under way for `copying_s`. After `serving_left_s` the version
+    that serves now may start no more requests. `known` is the share of chunks
+    that this instance and its peers hold together, `full_copy_s` the least
+    time that a complete copy takes over this instance's link.
     """
 
     version: int
     share: float
     copying_s: float = 0.0
-    useful_s: float = float('inf')
+    serving_left_s: float = float('inf')
     known: float = 0.0
-    link_s: float = float('inf')
+    full_copy_s: float = float('inf')
 
 
-class Standing(NamedTuple):
+class StagingState(NamedTuple):
     """What is known of the engine and of the copies.
 
     `ready` is the newest version of which there is a whole copy and `loaded`
@@ -90,13 +90,19 @@
     ordered_at: float | None
 
 
-def wanted(newest: int, under_way: Sequence[Progress]) -> tuple[int, ...]:
+def versions_to_copy(
+    newest: int, under_way: Sequence[CopyProgress]
+) -> tuple[int, ...]:
     """Give the versions to copy now, the first before the others.
 
-    >>> wanted(3, [Progress(2, 0.7)]), wanted(3, [Progress(2, 0.2)])
-    ((2, 3), (3, 2))
-    >>> wanted(3, [Progress(2, 1.0)]), wanted(3, [Progress(2, 0.6, 4.0, 3.0)])
-    ((3,), (3,))
+    >>> versions_to_copy(3, [CopyProgress(2, 0.7)])
+    (2, 3)
+    >>> versions_to_copy(3, [CopyProgress(2, 0.2)])
+    (3, 2)
+    >>> versions_to_copy(3, [CopyProgress(2, 1.0)])
+    (3,)
+    >>> versions_to_copy(3, [CopyProgress(2, 0.6, 4.0, 3.0)])
+    (3,)
     """
     older = max(
         (p for p in under_way if p.version < newest and 0 < p.share < 1),
@@ -108,60 +114,60 @@
     copy = next((p for p in under_way if p.version == newest), None)
     if not _is_useful(older, copy):
         return (newest,)
-    if copy is None or older.known < FEW_KNOWN:
+    if copy is None or older.known < MIN_KNOWN_SHARE:
         goes_first = older.share >= FINISH_SHARE
     else:
         gain_s = _closed_s_without(older, copy) - _closed_s(older, copy)
-        goes_first = gain_s > LEAST_GAIN_S
+        goes_first = gain_s > MIN_GAIN_S
     return (older.version, newest) if goes_first else (newest, older.version)
 
 
-def _is_useful(older: Progress, newest: Progress | None) -> bool:
+def _is_useful(older: CopyProgress, newest: CopyProgress | None) -> bool:
     """Tell whether an older version would serve for longer than a moment.
 
     It does where it replaces the one that serves, or where nothing serves by
     then and the newest can't be here.
     """
     older_s = _fleet_rest_s(older) + TURN_S
-    if older_s <= older.useful_s:
+    if older_s <= older.serving_left_s:
         return True
     if newest is None:
         return False
     newest_s = _newest_rest_s(older, newest) + TURN_S
-    return older_s + TURN_S <= min(newest.useful_s, newest_s)
+    return older_s + TURN_S <= min(newest.serving_left_s, newest_s)
 
 
-def _fleet_rest_s(progress: Progress) -> float:
+def _fleet_rest_s(progress: CopyProgress) -> float:
     """Estimate the rest of a copy that peers can feed."""
     rest_s = _rest_s(progress.share, progress.copying_s)
-    if progress.known < FEW_KNOWN:
+    if progress.known < MIN_KNOWN_SHARE:
         return rest_s
-    by_link_s = (1 - progress.share) * progress.link_s * COPY_SLACK
+    by_link_s = (1 - progress.share) * progress.full_copy_s * COPY_SLACK
     return min(rest_s, by_link_s)
 
 
-def _closed_s(older: Progress, newest: Progress) -> float:
+def _closed_s(older: CopyProgress, newest: CopyProgress) -> float:
     """Estimate how long nothing serves if an older copy goes first."""
     older_s = _fleet_rest_s(older) + TURN_S
-    newest_s = older_s + (1 - newest.share) * older.link_s * COPY_SLACK
-    return max(0.0, older_s - older.useful_s) + max(
-        0.0, newest_s - newest.useful_s
+    newest_s = older_s + (1 - newest.share) * older.full_copy_s * COPY_SLACK
+    return max(0.0, older_s - older.serving_left_s) + max(
+        0.0, newest_s - newest.serving_left_s
     )
 
 
-def _closed_s_without(older: Progress, newest: Progress) -> float:
+def _closed_s_without(older: CopyProgress, newest: CopyProgress) -> float:
     """Estimate how long nothing serves if the newest copy goes first."""
     newest_s = _newest_rest_s(older, newest) + TURN_S
-    return max(0.0, newest_s - older.useful_s)
+    return max(0.0, newest_s - older.serving_left_s)
 
 
-def _newest_rest_s(older: Progress, newest: Progress) -> float:
+def _newest_rest_s(older: CopyProgress, newest: CopyProgress) -> float:
     """Estimate the rest of the newest copy if it goes first."""
-    if newest.copying_s > ORIGIN_SILENT_S and newest.known < FEW_KNOWN:
+    if newest.copying_s > ORIGIN_SILENT_S and newest.known < MIN_KNOWN_SHARE:
         return float('inf')
     return max(
-        (1 - newest.share) * older.link_s * COPY_SLACK,
-        older.link_s * FRESH_COPY_SLACK - newest.copying_s,
+        (1 - newest.share) * older.full_copy_s * COPY_SLACK,
+        older.full_copy_s * FRESH_COPY_SLACK - newest.copying_s,
     )
 
 
@@ -177,7 +183,7 @@
 DRAIN_S = 1.0
 
 # Less of a copy than this says too little of when it will be whole.
-LEAST_SHARE = 0.25
+MIN_ESTIMATE_SHARE = 0.25
 
 
 def closes_in_s(
@@ -193,7 +199,7 @@
     >>> closes_in_s(0.5, 2.0, False, 5.0), closes_in_s(0.5, 2.0, True, 5.0)
     (2.0, 3.0)
     """
-    if share < LEAST_SHARE:
+    if share < MIN_ESTIMATE_SHARE:
         return None
     copy_s = _rest_s(share, copying_s)
     turn_s = TURN_S if waits_for_other else 0.0
@@ -211,25 +217,25 @@
     >>> opens_in_s(0.5, 2.0, 1.5), opens_in_s(0.1, 0.5, 4.0)
     (2.5, 4.5)
     """
-    if share < LEAST_SHARE:
+    if share < MIN_ESTIMATE_SHARE:
         return rest_by_link_s + LOAD_S
     return _rest_s(share, copying_s) + LOAD_S
 
 
-def must_start(named_at: float | None, limit_s: float, now: float) -> bool:
+def must_load(named_at: float | None, limit_s: float, now: float) -> bool:
     """Tell whether a load can wait for its turn no longer.
 
     `named_at` is when the version was named, None for long ago, `limit_s`
     how long the one before may be served after that.
     """
-    return named_at is None or now >= named_at + limit_s - LAST_CALL_S
+    return named_at is None or now >= named_at + limit_s - FINAL_LOAD_S
 
 
-def may_order(standing: Standing, now: float) -> bool:
+def may_order(standing: StagingState, now: float) -> bool:
     """Tell whether the engine is to be ordered to load now."""
     if standing.ready is None or standing.loading:
         return False
     if standing.loaded is not None and standing.loaded >= standing.ready:
         return False
     ordered_at = standing.ordered_at
-    return ordered_at is None or now - ordered_at > ORDER_LOST_S
+    return ordered_at is None or now - ordered_at > ORDER_TIMEOUT_S
--- a/packages/burdockchute/burdockchute/decisions/fresh_starts.py
+++ b/packages/burdockchute/burdockchute/decisions/startup.py
@@ -12,16 +12,16 @@
 from burdockchute.model.positions import Position
 
 # Agents are dialled as soon as the list is read, and report at once.
-NEIGHBOURS_S = 0.5
+NEIGHBOUR_WAIT_S = 0.5
 # Agents know what their entries have told, so few of them tell as much as all.
-ENOUGH_NEIGHBOURS = 3
+SUFFICIENT_NEIGHBOURS = 3
 
 # Operators write again what the store has lost. A configuration that only
 # neighbours know of for longer than this will not come back.
-REWRITE_S = 15.0
+REWRITE_WAIT_S = 15.0
 
 
-class Heard(NamedTuple):
+class NeighbourReports(NamedTuple):
     """What neighbours have told since the process started.
 
     `configuration` is the newest version that any of them knows.
@@ -31,40 +31,44 @@
     configuration: int = 0
 
 
-def told(heard: Heard, configuration: int) -> Heard:
+def report_received(
+    heard: NeighbourReports, configuration: int
+) -> NeighbourReports:
     """Give what was heard after one more neighbour has told.
 
     One that knows no configuration has just started itself.
 
-    >>> told(told(Heard(), 7), 0)
-    Heard(neighbours=1, configuration=7)
+    >>> report_received(report_received(NeighbourReports(), 7), 0)
+    NeighbourReports(neighbours=1, configuration=7)
     """
     if not configuration:
         return heard
-    return Heard(heard.neighbours + 1, max(heard.configuration, configuration))
+    return NeighbourReports(
+        heard.neighbours + 1, max(heard.configuration, configuration)
+    )
 
 
 def waits_for_neighbours(
-    heard: Heard, position: Position, started_at: float, now: float
+    heard: NeighbourReports, position: Position, started_at: float, now: float
 ) -> bool:
     """Tell whether a first reading is to wait for what neighbours know.
 
     A store that names no era never comes back from a copy.
 
-    >>> waits_for_neighbours(Heard(), Position(1, 9), 5.0, 5.4)
+    >>> waits_for_neighbours(NeighbourReports(), Position(1, 9), 5.0, 5.4)
     True
-    >>> waits_for_neighbours(Heard(), Position(0, 9), 5.0, 5.4)
+    >>> waits_for_neighbours(NeighbourReports(), Position(0, 9), 5.0, 5.4)
     False
     """
-    if not position.era or heard.neighbours >= ENOUGH_NEIGHBOURS:
+    if not position.era or heard.neighbours >= SUFFICIENT_NEIGHBOURS:
         return False
-    return now - started_at < NEIGHBOURS_S
+    return now - started_at < NEIGHBOUR_WAIT_S
 
 
-def gives_up(held_back_at: float, now: float) -> bool:
+def may_serve_outdated(held_back_at: float, now: float) -> bool:
     """Tell whether an outdated configuration is served for want of another.
 
-    >>> gives_up(5.0, 19.0), gives_up(5.0, 20.0)
+    >>> may_serve_outdated(5.0, 19.0), may_serve_outdated(5.0, 20.0)
     (False, True)
     """
-    return now - held_back_at >= REWRITE_S
+    return now - held_back_at >= REWRITE_WAIT_S
--- a/packages/burdockchute/burdockchute/decisions/subset.py
+++ b/packages/burdockchute/burdockchute/decisions/subset.py
@@ -44,10 +44,10 @@
 from burdockchute.model.table import services
 from burdockchute.model.table import Table
 
-LOCAL = 3
-REMOTE = 1
+LOCAL_ENTRIES = 3
+REMOTE_ENTRIES = 1
 MIN_HOSTS = 3
-ALL_AGENTS = 128
+FULL_MESH_AGENTS = 128
 
 _MASK = 2**64 - 1
 _ODD = 0x9E3779B97F4A7C15
@@ -109,7 +109,7 @@
         `pause` is called between rows, each of which takes milliseconds on
         the largest site.
         """
-        if len(self._agents) <= ALL_AGENTS:
+        if len(self._agents) <= FULL_MESH_AGENTS:
             return set(self._agents)
         own = self._entries.get(self._own)
         region = own.region if own else ''
@@ -162,11 +162,11 @@
                 continue
             # The first of each zone goes before the second of any.
             for rank, (score, entry) in enumerate(
-                heapq.nsmallest(LOCAL, scored)
+                heapq.nsmallest(LOCAL_ENTRIES, scored)
             ):
                 local.append((rank > 0, score, entry))
-    chosen = [entry for _rank, _score, entry in sorted(local)[:LOCAL]]
-    chosen += [entry for _score, entry in sorted(remote)[:REMOTE]]
+    chosen = [entry for _rank, _score, entry in sorted(local)[:LOCAL_ENTRIES]]
+    chosen += [entry for _score, entry in sorted(remote)[:REMOTE_ENTRIES]]
     return chosen
 
 
--- a/packages/burdockchute/burdockchute/decisions/suspects.py
+++ b/packages/burdockchute/burdockchute/decisions/suspects.py
@@ -38,10 +38,10 @@
 OUTAGE_S = 10.0
 OUTAGE_UPSTREAMS = 2
 REFUSE_S = 600.0
-MEMORY_S = 3600.0
+RECORD_TTL_S = 3600.0
 
 
-class Record(NamedTuple):
+class CrashRecord(NamedTuple):
     """Crashes that a request was part of."""
 
     crashes: int
@@ -54,7 +54,7 @@
     """Fingerprints of requests that were in flight in a crash."""
 
     def __init__(self) -> None:
-        self._records: dict[str, Record] = {}
+        self._records: dict[str, CrashRecord] = {}
         self._crashed_at: dict[str, float] = {}
 
     def __len__(self) -> int:
@@ -70,11 +70,11 @@
         convicted by the first.
         """
         self._forget(now)
-        old = self._records.get(fingerprint, Record(0, now, 0.0, ''))
+        old = self._records.get(fingerprint, CrashRecord(0, now, 0.0, ''))
         if old.upstream == upstream and now - old.last_at < ONE_CRASH_S:
             return False
         crashes = old.crashes + 1
-        self._records[fingerprint] = Record(
+        self._records[fingerprint] = CrashRecord(
             crashes, now, old.refused_until, upstream
         )
         self._crashed_at[upstream] = now
@@ -85,7 +85,7 @@
         self.refuse(fingerprint, REFUSE_S, now)
         return True
 
-    def learned(self, learned: CrashLearned, now: float) -> None:
+    def peer_reported(self, learned: CrashLearned, now: float) -> None:
         """Count a crash that another entry saw.
 
         An upstream that loses answers breaks off many requests, and common
@@ -105,7 +105,9 @@
 
     def refuse(self, fingerprint: str, for_s: float, now: float) -> None:
         """Refuse a request for a while, as another entry found."""
-        record = self._records.get(fingerprint, Record(CRASHES, now, 0.0, ''))
+        record = self._records.get(
+            fingerprint, CrashRecord(CRASHES, now, 0.0, '')
+        )
         self._records[fingerprint] = record._replace(
             last_at=now, refused_until=max(record.refused_until, now + for_s)
         )
@@ -131,5 +133,5 @@
         self._records = {
             fingerprint: record
             for fingerprint, record in self._records.items()
-            if now - record.last_at <= MEMORY_S
+            if now - record.last_at <= RECORD_TTL_S
         }
--- a/packages/burdockchute/burdockchute/decisions/switching.py
+++ b/packages/burdockchute/burdockchute/decisions/switching.py
@@ -40,20 +40,20 @@
     return order_deadline_s(size) + SETTLE_MARGIN_S
 
 
-class Situation(NamedTuple):
+class RowState(NamedTuple):
     """What is the case for one row.
 
     `wanted` is the digest that the row names, empty once the row is gone.
-    `whole` tells whether its copy is complete, `loaded` and `loading` what
+    `complete` tells whether its copy is complete, `loaded` and `loading` what
     the upstream reports, `is_open` which gates are open, `in_flight` how
     many requests are inside each. `may_load` is the pacing's word, `settled`
     whether the report can be relied on, `base_loaded` whether an adapter's
-    base model is loaded (true for a model). `beside` tells whether the
-    upstream has room for two versions.
+    base model is loaded (true for a model). `fits_two_versions` is whether
+    the upstream has room for two versions.
     """
 
     wanted: str
-    whole: bool
+    complete: bool
     loaded: frozenset[str]
     loading: frozenset[str]
     is_open: frozenset[str]
@@ -61,16 +61,16 @@
     may_load: bool = True
     settled: bool = True
     base_loaded: bool = True
-    beside: bool = True
+    fits_two_versions: bool = True
 
 
-class Open(NamedTuple):
+class OpenGate(NamedTuple):
     """Let requests for a digest in."""
 
     digest: str
 
 
-class Shut(NamedTuple):
+class CloseGate(NamedTuple):
     """Let no more requests for a digest in."""
 
     digest: str
@@ -94,13 +94,13 @@
     reason: str
 
 
-Step = Open | Shut | Load | Unload | Wait
+Step = OpenGate | CloseGate | Load | Unload | Wait
 
 
-def next_step(now: Situation) -> Step:
+def next_step(now: RowState) -> Step:
     """Give the next step."""
     for digest in sorted(now.is_open - now.loaded):
-        return Shut(digest)
+        return CloseGate(digest)
     if not now.wanted:
         return _clear(now, now.loaded | now.is_open)
     if now.wanted in now.loaded:
@@ -108,24 +108,24 @@
     return _replace(now)
 
 
-def _serve(now: Situation) -> Step:
+def _serve(now: RowState) -> Step:
     if now.wanted not in now.is_open:
         if not now.settled:
             return Wait('reported state is not settled')
         if not now.base_loaded:
             return Wait('base model is not loaded')
-        return Open(now.wanted)
+        return OpenGate(now.wanted)
     return _clear(now, now.loaded - {now.wanted})
 
 
-def _replace(now: Situation) -> Step:
+def _replace(now: RowState) -> Step:
     unused = now.loaded - now.is_open
     if unused:
         # Left over from a version that was named for a short while only.
         step = _clear(now, unused)
         if isinstance(step, Unload):
             return step
-    if not now.whole:
+    if not now.complete:
         return Wait('copying')
     if now.loading:
         return Wait('loading')
@@ -133,14 +133,14 @@
         return Wait('base model is not loaded')
     if not now.may_load:
         return Wait('others load first')
-    if now.loaded and not now.beside:
+    if now.loaded and not now.fits_two_versions:
         return _clear(now, now.loaded)
     return Load(now.wanted)
 
 
-def _clear(now: Situation, digests: frozenset[str]) -> Step:
+def _clear(now: RowState, digests: frozenset[str]) -> Step:
     for digest in sorted(digests & now.is_open):
-        return Shut(digest)
+        return CloseGate(digest)
     for digest in sorted(digests):
         if not now.in_flight.get(digest, 0):
             return Unload(digest)
--- a/packages/burdockchute/burdockchute/decisions/versions.py
+++ b/packages/burdockchute/burdockchute/decisions/versions.py
@@ -28,10 +28,10 @@
 
 # A request that has not begun this long before the limit is stopped, which
 # takes the way to its engine and up to a quarter of a second to be noticed.
-STOP_S = 0.5
+CANCEL_LEAD_S = 0.5
 
 # A link that is squeezed gets slower while what was sent before stands in it.
-BEGIN_SLACK = 1.5
+START_SLACK = 1.5
 
 # So many versions may replace each other before the first one's time is up.
 MAX_NAMED = 16
@@ -39,7 +39,7 @@
 FIRST_VERSION = 1
 
 
-class Named(NamedTuple):
+class NamedVersion(NamedTuple):
     """A version and when this process learnt of it, in monotonic seconds.
 
     `at` is None where it was named before this process could learn of it.
@@ -52,7 +52,7 @@
 class History(NamedTuple):
     """The versions of one model that were named, newest first."""
 
-    named: tuple[Named, ...] = ()
+    named: tuple[NamedVersion, ...] = ()
 
     @property
     def newest(self) -> int:
@@ -60,21 +60,21 @@
         return self.named[0].version if self.named else FIRST_VERSION
 
 
-def name(history: History, version: int, at: float | None) -> History:
+def add_version(history: History, version: int, at: float | None) -> History:
     """Give the history after a version was named."""
     if history.named and version <= history.newest:
         return history
-    kept = (Named(version, at), *history.named)
+    kept = (NamedVersion(version, at), *history.named)
     return History(kept[:MAX_NAMED])
 
 
-def heard(history: History, version: int, at: float) -> History:
+def add_report(history: History, version: int, at: float) -> History:
     """Give the history after another process told when it learnt of one.
 
-    >>> heard(name(History(), 3, None), 3, 8.0).named
-    (Named(version=3, at=8.0),)
-    >>> heard(name(History(), 3, 7.0), 3, 8.0).named
-    (Named(version=3, at=7.0),)
+    >>> add_report(add_version(History(), 3, None), 3, 8.0).named
+    (NamedVersion(version=3, at=8.0),)
+    >>> add_report(add_version(History(), 3, 7.0), 3, 8.0).named
+    (NamedVersion(version=3, at=7.0),)
     """
     times = {named.version: named.at for named in history.named}
     known = times.get(version)
@@ -82,14 +82,14 @@
         return history
     times[version] = at
     newest_first = sorted(times, reverse=True)
-    named = tuple(Named(each, times[each]) for each in newest_first)
+    named = tuple(NamedVersion(each, times[each]) for each in newest_first)
     return History(named[:MAX_NAMED])
 
 
 def least_allowed(history: History, limit_s: float, now: float) -> int:
     """Give the lowest version on which a request may begin now.
 
-    >>> history = name(name(History(), 1, None), 2, 10.0)
+    >>> history = add_version(add_version(History(), 1, None), 2, 10.0)
     >>> [least_allowed(history, 8.0, now) for now in (12.0, 16.0, 17.0)]
     [1, 1, 2]
     """
@@ -99,44 +99,47 @@
     return 0
 
 
-def ends_at(history: History, version: int, limit_s: float) -> float | None:
+def start_deadline(
+    history: History, version: int, limit_s: float
+) -> float | None:
     """Give when a request must have begun on a version, None for any time.
 
     A little before the limit, as its stop has to reach the engine.
 
-    >>> ends_at(name(name(History(), 1, None), 2, 10.0), 1, 8.0)
+    >>> history = add_version(add_version(History(), 1, None), 2, 10.0)
+    >>> start_deadline(history, 1, 8.0)
     17.5
     """
     times = [n.at for n in history.named if n.version > version]
     known = [at for at in times if at is not None]
-    return min(known) + limit_s - STOP_S if known else None
+    return min(known) + limit_s - CANCEL_LEAD_S if known else None
 
 
-def begins_in_time(ends_at: float, begins_in_s: float, now: float) -> bool:
+def starts_in_time(deadline: float, starts_in_s: float, now: float) -> bool:
     """Tell whether a request that is sent now begins before its version ends.
 
-    `begins_in_s` is what requests take on that engine lately. Behind a link
+    `starts_in_s` is what requests take on that engine lately. Behind a link
     that is squeezed it is over a second, and what is sent in the last moments
     would begin on weights of the past.
 
-    >>> begins_in_time(17.5, 0.3, 16.0), begins_in_time(17.5, 1.2, 16.0)
+    >>> starts_in_time(17.5, 0.3, 16.0), starts_in_time(17.5, 1.2, 16.0)
     (True, False)
     """
-    return now + BEGIN_SLACK * begins_in_s < ends_at
+    return now + START_SLACK * starts_in_s < deadline
 
 
-def must_stop(begin_by: float | None, sent_at: float, now: float) -> bool:
+def must_cancel(deadline: float | None, sent_at: float, now: float) -> bool:
     """Tell whether a request that has not begun is to be stopped.
 
     Its stop takes the way that it took, so one that has been under way for
     long is stopped by as much earlier.
 
-    >>> must_stop(17.5, 17.0, 17.4), must_stop(17.5, 15.5, 16.9)
+    >>> must_cancel(17.5, 17.0, 17.4), must_cancel(17.5, 15.5, 16.9)
     (False, True)
     """
-    if begin_by is None:
+    if deadline is None:
         return False
-    return now + max(0.0, now - sent_at - STOP_S) > begin_by
+    return now + max(0.0, now - sent_at - CANCEL_LEAD_S) > deadline
 
 
 def named_at(history: History, version: int) -> float | None:
--- a/packages/burdockchute/burdockchute/following.py
+++ b/packages/burdockchute/burdockchute/following.py
@@ -26,8 +26,8 @@
 
 from burdockchute import logs
 from burdockchute import metrics
-from burdockchute.decisions import fresh_starts
 from burdockchute.decisions import listing
+from burdockchute.decisions import startup
 from burdockchute.model import beliefs as belief
 from burdockchute.model.beliefs import Beliefs
 from burdockchute.model.beliefs import Hearsay
@@ -202,7 +202,7 @@
         self._rng = rng
         self._wishes_read = False
         self._started_at = now()
-        self._heard = fresh_starts.Heard()
+        self._heard = startup.NeighbourReports()
         self._held_back_at = 0.0
         self._wishes_cadence = wishes_cadence
         self._upstreams_cadence = upstreams_cadence
@@ -250,7 +250,7 @@
 
     def hear_configuration(self, version: int) -> None:
         """Take in the version of the configuration that a neighbour knows."""
-        self._heard = fresh_starts.told(self._heard, version)
+        self._heard = startup.report_received(self._heard, version)
 
     def _follow(
         self,
@@ -315,14 +315,14 @@
         if after.held_back is not None:
             if self.beliefs.held_back is None:
                 self._held_back_at = now
-            elif fresh_starts.gives_up(self._held_back_at, now):
+            elif startup.may_serve_outdated(self._held_back_at, now):
                 after, taken = belief.take_held_back(after)
                 learnt = [*learnt, *taken]
         self._replace(after, learnt)
 
     def _wait_for_neighbours(self, position: Position) -> float:
         now = self._now()
-        while fresh_starts.waits_for_neighbours(
+        while startup.waits_for_neighbours(
             self._heard, position, self._started_at, now
         ):
             gevent.sleep(NEIGHBOURS_POLL_S)
@@ -334,7 +334,7 @@
     ) -> None:
         before = self.beliefs
         if returned.regained or returned.restored:
-            upstreams = listing.on_return(before.upstreams, now)
+            upstreams = listing.on_store_return(before.upstreams, now)
             before = before._replace(upstreams=upstreams)
             gevent.spawn_later(listing.SETTLE_S, self._settle)
         take = belief.take_upstreams
--- a/packages/burdockchute/burdockchute/model/beliefs.py
+++ b/packages/burdockchute/burdockchute/model/beliefs.py
@@ -146,9 +146,9 @@
         before = histories.get(item.model, versions.History())
         if item.at is None:
             at = now if beliefs.routes is not None else None
-            after = versions.name(before, item.version, at)
+            after = versions.add_version(before, item.version, at)
         else:
-            after = versions.heard(before, item.version, item.at)
+            after = versions.add_report(before, item.version, item.at)
         if after == before:
             continue
         histories[item.model] = after
@@ -211,8 +211,8 @@
             after = listing.on_unlisted(after, change, now)
     if batch.whole:
         names = {c.upstream.id for c in batch.changes if isinstance(c, Listed)}
-        after = listing.on_whole(after, names, batch.position, now)
-    after = listing.on_time(after, now)
+        after = listing.on_complete_list(after, names, batch.position, now)
+    after = listing.on_tick(after, now)
     learnt = [] if after is before else _compared(before, after)
     return beliefs._replace(upstreams=after, listed=True), learnt
 
@@ -238,7 +238,7 @@
         return beliefs._replace(routes=route_table(new), held_back=None)
     if isinstance(change, VersionRead):
         old_history = beliefs.history(change.model)
-        history = versions.name(old_history, change.version, at)
+        history = versions.add_version(old_history, change.version, at)
         if history == old_history:
             return beliefs
         learnt.append(
--- a/packages/burdockchute/burdockchute/nodes/fragments.py
+++ b/packages/burdockchute/burdockchute/nodes/fragments.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from burdockchute import wire
-from burdockchute.decisions import flow
+from burdockchute.decisions import flow_control
 from burdockchute.wire import messages
 
 # At 4.7 Mbit/s, the thinnest link in use, a fragment takes 14 ms, which is
@@ -25,7 +25,7 @@
 
     def __init__(self, pace: Pace) -> None:
         self._pace = pace
-        self._flow = flow.Flow()
+        self._flow = flow_control.FlowState()
         self._waiting: deque[messages.Fragment] = deque()
 
     def add(self, data: bytes) -> None:
@@ -37,7 +37,7 @@
 
     def acknowledged(self, now: float) -> None:
         """Note that the receiver has the oldest fragment that is out."""
-        self._flow = flow.acknowledged(self._flow, now)
+        self._flow = flow_control.acknowledged(self._flow, now)
 
     def wait_s(self, now: float) -> float | None:
         """Give how long until a fragment may be sent, None for not yet.
@@ -46,18 +46,18 @@
         """
         if not self._waiting:
             return None
-        wait_s = flow.wait_s(self._flow, now)
+        wait_s = flow_control.wait_s(self._flow, now)
         if wait_s != 0.0:
             return wait_s
         return self._pace(len(self._waiting[0].data))
 
     def is_slow(self, now: float) -> bool:
         """Tell whether the link takes less than it is sent."""
-        return flow.is_slow(self._flow, now)
+        return flow_control.is_slow(self._flow, now)
 
     def next(self, now: float) -> messages.Fragment:
         """Take the next fragment, which is sent now."""
-        self._flow = flow.sent(self._flow, now)
+        self._flow = flow_control.sent(self._flow, now)
         return self._waiting.popleft()
 
 
--- a/packages/burdockchute/burdockchute/nodes/wishes_news.py
+++ b/packages/burdockchute/burdockchute/nodes/wishes_news.py
@@ -31,7 +31,7 @@
     """Give what to tell of the versions that were named.
 
     >>> from burdockchute.decisions import versions
-    >>> history = versions.name(versions.History(), 3, 97.5)
+    >>> history = versions.add_version(versions.History(), 3, 97.5)
     >>> news_of({'story': history}, 100.0)
     [NamedVersion(model='story', version=3, age_ms=2500)]
     """
--- a/packages/burdockchute/tests/decisions/test_listing.py
+++ b/packages/burdockchute/tests/decisions/test_listing.py
@@ -49,17 +49,17 @@
         Believed at once, no upstream would be left for two seconds and every
         caller would be refused.
         """
-        back = listing.on_return(self.listed, 100.0)
+        back = listing.on_store_return(self.listed, 100.0)
         lapsed = listing.on_unlisted(back, Unlisted(at(6), 'i-1', 'x'), 100.1)
         self.assertEqual(['i-1'], names(lapsed))
-        self.assertEqual(['i-1'], names(listing.on_time(lapsed, 102.0)))
+        self.assertEqual(['i-1'], names(listing.on_tick(lapsed, 102.0)))
         relisted = listing.on_listed(lapsed, Listed(at(7), upstream()))
-        self.assertEqual(['i-1'], names(listing.on_time(relisted, 103.0)))
+        self.assertEqual(['i-1'], names(listing.on_tick(relisted, 103.0)))
 
     def test_one_that_does_not_come_back_is_gone(self):
-        back = listing.on_return(self.listed, 100.0)
+        back = listing.on_store_return(self.listed, 100.0)
         lapsed = listing.on_unlisted(back, Unlisted(at(6), 'i-1', 'x'), 100.1)
-        self.assertEqual([], names(listing.on_time(lapsed, 102.6)))
+        self.assertEqual([], names(listing.on_tick(lapsed, 102.6)))
 
     def test_one_that_leaves_after_the_return_is_gone_at_once(self):
         """The own machine was cut off and is back; then an upstream leaves.
@@ -67,14 +67,14 @@
         Kept like those that lapsed in an outage, it would get requests for
         longer than an upstream that has left may.
         """
-        back = listing.on_return(self.listed, 100.0)
+        back = listing.on_store_return(self.listed, 100.0)
         left = listing.on_unlisted(back, Unlisted(at(6), 'i-1', 'x'), 100.55)
         self.assertEqual([], names(left))
 
     def test_a_whole_list_takes_out_who_is_missing(self):
         elsewhere = upstream('i-2')._replace(endpoint=Endpoint('10.0.0.2', 1))
         both = listing.on_listed(self.listed, Listed(at(6), elsewhere))
-        left = listing.on_whole(both, {'i-2'}, at(9), 50.0)
+        left = listing.on_complete_list(both, {'i-2'}, at(9), 50.0)
         self.assertEqual(['i-2'], names(left))
 
     def test_the_first_record_after_a_whole_list_counts(self):
@@ -83,7 +83,7 @@
         Taken for older than the list, it would be left out until it writes
         once more.
         """
-        left = listing.on_whole(self.listed, set(), at(9), 50.0)
+        left = listing.on_complete_list(self.listed, set(), at(9), 50.0)
         back = listing.on_listed(left, Listed(at(9), upstream()))
         self.assertEqual(['i-1'], names(back))
 
@@ -141,10 +141,10 @@
     def test_a_copy_drops_nobody_before_he_could_write_again(self):
         """It does not name an engine that came in the seconds it lacks."""
         kept = self.restored()
-        self.assertEqual(['i-1'], names(listing.on_time(kept, 102.0)))
-        self.assertEqual([], names(listing.on_time(kept, 102.6)))
+        self.assertEqual(['i-1'], names(listing.on_tick(kept, 102.0)))
+        self.assertEqual([], names(listing.on_tick(kept, 102.6)))
         again = listing.on_listed(kept, Listed(at(9, 2), upstream()))
-        self.assertEqual(['i-1'], names(listing.on_time(again, 102.6)))
+        self.assertEqual(['i-1'], names(listing.on_tick(again, 102.6)))
 
     def test_a_copy_takes_back_nothing_that_is_known(self):
         """It shows an engine as before its drain, its load, its restart."""
--- a/packages/burdockchute/tests/decisions/test_membership.py
+++ b/packages/burdockchute/tests/decisions/test_membership.py
@@ -5,7 +5,7 @@
 import unittest
 
 from burdockchute.decisions import membership
-from burdockchute.decisions.membership import Heard
+from burdockchute.decisions.membership import LinkReport
 from burdockchute.decisions.membership import Membership
 from burdockchute_testing.builders import fleets
 
@@ -28,7 +28,10 @@
         # An agent tells its links at once that it leaves, the list seconds
         # later. Work placed on it in between is refused and has to move.
         one, other = FLEET[5], FLEET[6]
-        heard = {one.name: Heard(one, True), other.name: Heard(other, False)}
+        heard = {
+            one.name: LinkReport(one, True),
+            other.name: LinkReport(other, False),
+        }
         listed = [m._replace(leaving=m.name == other.name) for m in FLEET]
         state = membership.on_list(self.known, listed, heard, 1.0)
         self.assertEqual(
@@ -39,14 +42,14 @@
             [one.name],
             [
                 m.name
-                for m in membership.on_heard(self.known, heard).members
+                for m in membership.on_link_reports(self.known, heard).members
                 if m.leaving
             ],
         )
 
     def test_unlisted_instance_stays_while_its_link_is_alive(self):
         one = FLEET[5]
-        heard = {one.name: Heard(one, False)}
+        heard = {one.name: LinkReport(one, False)}
         listed = [m for m in FLEET if m.name != one.name]
         state = membership.on_list(self.known, listed, heard, 1.0)
         self.assertEqual(NAMES, names(state))
--- a/packages/burdockchute/tests/decisions/test_spreading.py
+++ b/packages/burdockchute/tests/decisions/test_spreading.py
@@ -13,8 +13,8 @@
 from burdockchute.decisions import sources
 from burdockchute.decisions.chunks import Choice
 from burdockchute.decisions.chunks import Offer
-from burdockchute.decisions.pacing import Before
-from burdockchute.decisions.sources import Progress
+from burdockchute.decisions.pacing import Predecessor
+from burdockchute.decisions.sources import ChunkArrivals
 from burdockchute.model.members import Member
 from burdockchute.model.members import Place
 
@@ -95,12 +95,12 @@
 
     def choose(self, name: str, rng=None) -> Choice:
         rng = rng or random.Random(1)
-        return chunks.CHOICES[name](self.OFFERS, self.HOLDERS, rng)
+        return chunks.CHUNK_POLICIES[name](self.OFFERS, self.HOLDERS, rng)
 
     def test_every_choice_is_on_offer(self):
         useful = {offer.peer: offer.useful for offer in self.OFFERS}
         rng = random.Random(2)
-        for name in chunks.CHOICES:
+        for name in chunks.CHUNK_POLICIES:
             for _ in range(50):
                 choice = self.choose(name, rng)
                 with self.subTest(name=name, choice=choice):
@@ -135,7 +135,7 @@
     def ranks(self, chunk: int) -> dict[str, int]:
         return {
             name: sources.reader_rank(
-                sources.readers('d', name, self.NAMES), chunk
+                sources.reader_group('d', name, self.NAMES), chunk
             )
             for name in self.NAMES
         }
@@ -155,56 +155,61 @@
 
     def test_others_keep_their_turns_when_one_is_absent(self):
         """Agents see different ones as gone; they read no chunk twice."""
-        known = sources.readers('d', 'a3', self.NAMES)
+        known = sources.reader_group('d', 'a3', self.NAMES)
         others = {name for name in self.NAMES if name != 'a3'}
         for chunk in range(12):
             rank = sources.reader_rank(known, chunk)
-            one_gone = known._replace(absent=frozenset({'a5'}))
+            one_gone = known._replace(unreachable=frozenset({'a5'}))
             self.assertIn(rank - sources.reader_rank(one_gone, chunk), (0, 1))
-            alone = known._replace(absent=frozenset(others))
+            alone = known._replace(unreachable=frozenset(others))
             self.assertEqual(0, sources.reader_rank(alone, chunk))
 
     def test_groups_follow_each_other(self):
         names = tuple(f'a{number}' for number in range(200))
         steps = Counter(
-            sources.readers('d', name, names).step for name in names
+            sources.reader_group('d', name, names).group_index
+            for name in names
         )
         self.assertEqual({0: 64, 1: 64, 2: 64, 3: 8}, steps)
 
     def test_first_reader_reads_at_once_and_the_next_waits(self):
-        progress = Progress(last=10.0, gap=0.0)
+        progress = ChunkArrivals(last=10.0, interval_s=0.0)
         times = [
-            sources.read_after(rank, 0, 1, 10.0, progress) for rank in range(3)
+            sources.earliest_read_at(rank, 0, 1, 10.0, progress)
+            for rank in range(3)
         ]
         self.assertEqual([10.5, 11.5, 12.5], times)
 
     def test_more_copies_let_more_read_at_once(self):
-        progress = Progress(last=10.0, gap=0.0)
+        progress = ChunkArrivals(last=10.0, interval_s=0.0)
         times = [
-            sources.read_after(rank, 0, 4, 10.0, progress) for rank in range(5)
+            sources.earliest_read_at(rank, 0, 4, 10.0, progress)
+            for rank in range(5)
         ]
         self.assertEqual([10.5] * 4 + [11.5], times)
 
     def test_second_group_reads_when_the_first_is_silent(self):
         # Everyone who was to read the origin is killed. The others must
         # not wait for 64 dead ones in turn.
-        progress = Progress(last=10.0, gap=0.0)
-        after = sources.read_after(0, 1, 1, 10.0, progress)
+        progress = ChunkArrivals(last=10.0, interval_s=0.0)
+        after = sources.earliest_read_at(0, 1, 1, 10.0, progress)
         self.assertEqual(17.5, after)
 
     def test_slow_store_moves_nobody_else_to_read(self):
         # The store sends a chunk every two seconds. If the others took the
         # readers for dead after a second, each would add to its load.
-        progress = Progress(last=0.0, gap=0.0)
+        progress = ChunkArrivals(last=0.0, interval_s=0.0)
         for now in (2.0, 4.0, 6.0):
-            progress = sources.turned_up(progress, now)
-        due = sources.read_after(1, 0, 1, 0.0, progress)
-        self.assertEqual(6.0 + sources.GAPS * 2.0, due)
+            progress = sources.on_new_chunk(progress, now)
+        due = sources.earliest_read_at(1, 0, 1, 0.0, progress)
+        self.assertEqual(6.0 + sources.STALL_INTERVALS * 2.0, due)
 
     def test_fraction_of_a_copy(self):
-        counts = [sources.copies_of(1.25, chunk) for chunk in range(100)]
+        counts = [
+            sources.readers_per_chunk(1.25, chunk) for chunk in range(100)
+        ]
         self.assertEqual(125, sum(counts))
-        self.assertEqual(1, sources.copies_of(0.1, 0))
+        self.assertEqual(1, sources.readers_per_chunk(0.1, 0))
 
     def test_backoff_is_bounded(self):
         rng = random.Random(1)
@@ -218,7 +223,7 @@
 
     def test_lanes(self):
         before = {
-            name: pacing.before('model/s/d', name, self.NAMES, 0.2)
+            name: pacing.predecessor('model/s/d', name, self.NAMES, 0.2)
             for name in self.NAMES
         }
         self.assertEqual(2, list(before.values()).count(None))
@@ -226,13 +231,13 @@
         self.assertEqual(len(watched), len(set(watched)))
 
     def test_turn_comes_when_the_one_before_is_open_or_gone(self):
-        shut = Before(is_open=False, gone=False)
+        shut = Predecessor(is_open=False, gone=False)
         cases = [
             (None, shut, 0.0, True),
             ('a', shut, 5.0, False),
-            ('a', Before(True, False), 5.0, True),
-            ('a', Before(False, True), 5.0, True),
-            ('a', shut, pacing.OVERDUE_S + 0.1, True),
+            ('a', Predecessor(True, False), 5.0, True),
+            ('a', Predecessor(False, True), 5.0, True),
+            ('a', shut, pacing.PREDECESSOR_TIMEOUT_S + 0.1, True),
         ]
         for watched, known, now, wanted in cases:
             with self.subTest(watched=watched, known=known, now=now):
--- a/packages/burdockchute/tests/decisions/test_subset.py
+++ b/packages/burdockchute/tests/decisions/test_subset.py
@@ -46,10 +46,10 @@
         found = links(self.members)
         counts = counts_of(found)
         self.assertEqual(
-            {subset.LOCAL + subset.REMOTE},
+            {subset.LOCAL_ENTRIES + subset.REMOTE_ENTRIES},
             {counts[f'agent-{number}'] for number in range(420)},
         )
-        mean = 420 * (subset.LOCAL + subset.REMOTE) / 28
+        mean = 420 * (subset.LOCAL_ENTRIES + subset.REMOTE_ENTRIES) / 28
         self.assertLess(max(map(len, found.values())), 1.5 * mean)
 
     def test_links_of_an_agent_are_in_several_zones(self):
@@ -110,7 +110,7 @@
         left = [m for m in self.members if m.place.zone != 'zone-2']
         counts = counts_of(links(left))
         self.assertEqual(
-            {subset.LOCAL + subset.REMOTE},
+            {subset.LOCAL_ENTRIES + subset.REMOTE_ENTRIES},
             {counts[m.name] for m in left if m.role == 'agent'},
         )
 
--- a/packages/burdockchute/tests/decisions/test_suspects.py
+++ b/packages/burdockchute/tests/decisions/test_suspects.py
@@ -55,7 +55,7 @@
 
     def test_old_crash_is_forgotten(self):
         self.suspects.crashed('p', 'a', False, 0.0)
-        later = suspects.MEMORY_S + 1
+        later = suspects.RECORD_TTL_S + 1
         self.assertFalse(self.suspects.crashed('p', 'b', True, later))
         self.assertEqual(1, len(self.suspects))
 
@@ -67,10 +67,10 @@
         """
         for second in range(9):
             seen = CrashSeen('p', 'a', True, False)
-            self.suspects.learned(CrashLearned(seen, 0.0), 2.0 * second)
+            self.suspects.peer_reported(CrashLearned(seen, 0.0), 2.0 * second)
         self.assertEqual(0.0, self.suspects.refused_for_s('p', 20.0))
         seen = CrashSeen('p', 'b', True, False)
-        self.suspects.learned(CrashLearned(seen, 0.0), 20.0)
+        self.suspects.peer_reported(CrashLearned(seen, 0.0), 20.0)
         self.assertGreater(self.suspects.refused_for_s('p', 20.0), 0.0)
 
     def test_other_entry_tells_whom_to_refuse(self):
--- a/packages/burdockchute/tests/decisions/test_switching.py
+++ b/packages/burdockchute/tests/decisions/test_switching.py
@@ -9,11 +9,11 @@
 from hypothesis import strategies as st
 
 from burdockchute.decisions import switching
+from burdockchute.decisions.switching import CloseGate
 from burdockchute.decisions.switching import Load
 from burdockchute.decisions.switching import next_step
-from burdockchute.decisions.switching import Open
-from burdockchute.decisions.switching import Shut
-from burdockchute.decisions.switching import Situation
+from burdockchute.decisions.switching import OpenGate
+from burdockchute.decisions.switching import RowState
 from burdockchute.decisions.switching import Unload
 from burdockchute.decisions.switching import Wait
 
@@ -21,18 +21,18 @@
 DIGESTS = ('d1', 'd2', 'd3')
 
 
-def situation(**changes) -> Situation:
-    base = Situation('new', True, NONE, NONE, NONE, {})
+def situation(**changes) -> RowState:
+    base = RowState('new', True, NONE, NONE, NONE, {})
     return base._replace(**changes)
 
 
 class NextStepTest(unittest.TestCase):
     def test_first_version(self):
         cases = [
-            (situation(whole=False), Wait('copying')),
+            (situation(complete=False), Wait('copying')),
             (situation(), Load('new')),
             (situation(loading=frozenset({'new'})), Wait('loading')),
-            (situation(loaded=frozenset({'new'})), Open('new')),
+            (situation(loaded=frozenset({'new'})), OpenGate('new')),
         ]
         for given, wanted in cases:
             with self.subTest(given=given):
@@ -45,16 +45,16 @@
             Load('new'), next_step(situation(loaded=old, is_open=old))
         )
         self.assertEqual(
-            Open('new'), next_step(situation(loaded=both, is_open=old))
+            OpenGate('new'), next_step(situation(loaded=both, is_open=old))
         )
         self.assertEqual(
-            Shut('old'), next_step(situation(loaded=both, is_open=both))
+            CloseGate('old'), next_step(situation(loaded=both, is_open=both))
         )
 
     def test_old_version_goes_first_without_room(self):
         old = frozenset({'old'})
-        given = situation(loaded=old, is_open=old, beside=False)
-        self.assertEqual(Shut('old'), next_step(given))
+        given = situation(loaded=old, is_open=old, fits_two_versions=False)
+        self.assertEqual(CloseGate('old'), next_step(given))
         given = given._replace(is_open=NONE, in_flight={'old': 1})
         self.assertEqual(Wait('requests in flight'), next_step(given))
         given = given._replace(in_flight={})
@@ -63,7 +63,7 @@
     def test_old_version_serves_until_its_turn_to_load(self):
         old = frozenset({'old'})
         given = situation(
-            loaded=old, is_open=old, beside=False, may_load=False
+            loaded=old, is_open=old, fits_two_versions=False, may_load=False
         )
         self.assertEqual(Wait('others load first'), next_step(given))
 
@@ -73,7 +73,7 @@
         given = situation(
             loaded=frozenset({'other'}), is_open=frozenset({'new'})
         )
-        self.assertEqual(Shut('new'), next_step(given))
+        self.assertEqual(CloseGate('new'), next_step(given))
 
     def test_unsettled_report_opens_nothing(self):
         given = situation(loaded=frozenset({'new'}), settled=False)
@@ -87,8 +87,8 @@
 
     def test_removed_row_is_cleared(self):
         new = frozenset({'new'})
-        given = situation(wanted='', whole=False, loaded=new, is_open=new)
-        self.assertEqual(Shut('new'), next_step(given))
+        given = situation(wanted='', complete=False, loaded=new, is_open=new)
+        self.assertEqual(CloseGate('new'), next_step(given))
         given = given._replace(is_open=NONE)
         self.assertEqual(Unload('new'), next_step(given))
         self.assertEqual(
@@ -102,7 +102,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.wanted = 'd1'
-        self.whole = set(DIGESTS)
+        self.complete = set(DIGESTS)
         self.loaded: set[str] = set()
         self.loading: set[str] = set()
         self.open: set[str] = set()
@@ -146,8 +146,8 @@
     @stateful.rule()
     def step(self) -> None:
         step = self._next()
-        while isinstance(step, Open | Shut):
-            if isinstance(step, Open):
+        while isinstance(step, OpenGate | CloseGate):
+            if isinstance(step, OpenGate):
                 self.open.add(step.digest)
             else:
                 self.open.discard(step.digest)
@@ -177,14 +177,14 @@
 
     def _next(self) -> switching.Step:
         return next_step(
-            Situation(
+            RowState(
                 wanted=self.wanted,
-                whole=self.wanted in self.whole,
+                complete=self.wanted in self.complete,
                 loaded=frozenset(self.loaded),
                 loading=frozenset(self.loading),
                 is_open=frozenset(self.open),
                 in_flight=dict(self.inside),
-                beside=self.room > 1,
+                fits_two_versions=self.room > 1,
             )
         )
 
--- a/packages/burdockchute/tests/decisions/test_versions.py
+++ b/packages/burdockchute/tests/decisions/test_versions.py
@@ -20,9 +20,9 @@
         Each replaced version may begin requests for its own time after it
         was replaced; the first must not get the second's time on top.
         """
-        history = versions.name(History(), 1, None)
-        history = versions.name(history, 2, 100.0)
-        history = versions.name(history, 3, 104.0)
+        history = versions.add_version(History(), 1, None)
+        history = versions.add_version(history, 2, 100.0)
+        history = versions.add_version(history, 3, 104.0)
         self.assertEqual(
             [1, 2, 2, 3],
             [
@@ -32,7 +32,9 @@
         )
 
     def test_unknown_time_of_naming_allows_nothing_older(self):
-        history = versions.name(versions.name(History(), 1, None), 2, None)
+        history = versions.add_version(
+            versions.add_version(History(), 1, None), 2, None
+        )
         self.assertEqual(2, versions.least_allowed(history, LIMIT_S, 0.0))
 
     def test_without_a_name_any_version_may_serve(self):
@@ -51,7 +53,7 @@
         least = 0
         for version, gap_s in names:
             now += gap_s
-            history = versions.name(history, version, now)
+            history = versions.add_version(history, version, now)
             allowed = versions.least_allowed(history, LIMIT_S, now)
             self.assertGreaterEqual(allowed, least)
             least = allowed
@@ -68,9 +70,9 @@
         """
         history = History()
         for version, at in names:
-            history = versions.name(history, version, at)
+            history = versions.add_version(history, version, at)
         for version, at in told:
-            after = versions.heard(history, version, at)
+            after = versions.add_report(history, version, at)
             self.assertGreaterEqual(after.newest, history.newest)
             for now in (0.0, 50.0, 103.0, 110.0):
                 self.assertGreaterEqual(
@@ -87,11 +89,11 @@
         time is over.
         """
         ends = 17.5
-        self.assertTrue(versions.begins_in_time(ends, 0.2, 16.5))
-        self.assertFalse(versions.begins_in_time(ends, 1.6, 15.5))
-        self.assertTrue(versions.must_stop(ends, 15.4, 16.8))
-        self.assertFalse(versions.must_stop(ends, 16.5, 16.8))
-        self.assertFalse(versions.must_stop(None, 1.0, 16.8))
+        self.assertTrue(versions.starts_in_time(ends, 0.2, 16.5))
+        self.assertFalse(versions.starts_in_time(ends, 1.6, 15.5))
+        self.assertTrue(versions.must_cancel(ends, 15.4, 16.8))
+        self.assertFalse(versions.must_cancel(ends, 16.5, 16.8))
+        self.assertFalse(versions.must_cancel(None, 1.0, 16.8))
 
 
 if __name__ == '__main__':
--- a/packages/burdockchute/tests/test_links.py
+++ b/packages/burdockchute/tests/test_links.py
@@ -9,7 +9,7 @@
 import gevent
 from gevent import queue
 
-from burdockchute.decisions import flow
+from burdockchute.decisions import flow_control
 from burdockchute.nodes import fragments
 from burdockchute.nodes import links
 from burdockchute.wire import messages
@@ -90,7 +90,9 @@
         self.assertFalse(link.flush(0.2))
         out = 50_000 - link.queued_bytes
         self.assertLessEqual(
-            out, flow.WINDOW * fragments.FRAGMENT_BYTES, 'bytes under way'
+            out,
+            flow_control.WINDOW_FRAGMENTS * fragments.FRAGMENT_BYTES,
+            'bytes under way',
         )
         # The other side goes on only once a fragment was acknowledged.
         conn = taken.get(timeout=2)
--- a/packages/burdockchute/tests/test_snapshots.py
+++ b/packages/burdockchute/tests/test_snapshots.py
@@ -24,7 +24,7 @@
         """
         rng = random.Random(1)
         states = [
-            snapshots.begin(5, 0, 0.0, RETENTION_S, rng)
+            snapshots.initial_state(5, 0, 0.0, RETENTION_S, rng)
             for _number in range(entries)
         ]
         written = 0
@@ -39,7 +39,7 @@
             for number, state in enumerate(states):
                 if snapshots.is_due(state, offset, now + 0.1):
                     written += 1
-                states[number] = snapshots.saw_snapshot(
+                states[number] = snapshots.on_snapshot(
                     state, offset, now + 0.1, RETENTION_S, rng
                 )
         return written, gap
@@ -55,8 +55,11 @@
     def test_first_edit_of_all_is_written_soon_but_not_by_all_at_once(self):
         rng = random.Random(1)
         states = [
-            snapshots.saw_edits(
-                snapshots.begin(-1, 0, 0.0, RETENTION_S, rng), 1, 99.0, rng
+            snapshots.on_edits(
+                snapshots.initial_state(-1, 0, 0.0, RETENTION_S, rng),
+                1,
+                99.0,
+                rng,
             )
             for _number in range(360)
         ]
@@ -66,14 +69,14 @@
 
     def test_many_edits_bring_it_forward(self):
         rng = random.Random(1)
-        state = snapshots.saw_snapshot(
-            snapshots.begin(-1, 0, 0.0, RETENTION_S, rng),
+        state = snapshots.on_snapshot(
+            snapshots.initial_state(-1, 0, 0.0, RETENTION_S, rng),
             7,
             0.0,
             RETENTION_S,
             rng,
         )
-        state = snapshots.saw_edits(state, snapshots.MAX_EDITS, 1.0, rng)
+        state = snapshots.on_edits(state, snapshots.MAX_EDITS, 1.0, rng)
         self.assertTrue(snapshots.is_due(state, 9, 6.1))
 
     def test_older_snapshot_does_not_count(self):
@@ -81,9 +84,9 @@
         # Would it count as the newest, the one that readers need could
         # expire before the next was written.
         rng = random.Random(1)
-        state = snapshots.begin(50, 0, 0.0, RETENTION_S, rng)
+        state = snapshots.initial_state(50, 0, 0.0, RETENTION_S, rng)
         self.assertEqual(
-            state, snapshots.saw_snapshot(state, 9, 10.0, RETENTION_S, rng)
+            state, snapshots.on_snapshot(state, 9, 10.0, RETENTION_S, rng)
         )
 
 
