--- a/packages/burdockchute-entry/burdockchute_entry/attempts.py
+++ b/packages/burdockchute-entry/burdockchute_entry/attempts.py
@@ -7,7 +7,7 @@
 
 from burdockchute.decisions import admission
 from burdockchute.decisions import placement
-from burdockchute.decisions.fair_queue import Waiting
+from burdockchute.decisions.fair_queue import QueuedRequest
 from burdockchute.decisions.placement import Work
 from burdockchute.model.requests import RequestContext
 from burdockchute.nodes import links
@@ -92,7 +92,7 @@
         )
         self.caller_gone = False
         self.is_suspect = False
-        self.waiting: Waiting | None = None
+        self.waiting: QueuedRequest | None = None
         self.waiting_since = ctx.arrived
         self.attempt: Attempt | None = None
         self.attempts = 0
--- a/packages/burdockchute-entry/burdockchute_entry/dispatcher.py
+++ b/packages/burdockchute-entry/burdockchute_entry/dispatcher.py
@@ -8,7 +8,7 @@
 from burdockchute.decisions import admission
 from burdockchute.decisions import hosting
 from burdockchute.decisions import retries
-from burdockchute.decisions.fair_queue import Waiting
+from burdockchute.decisions.fair_queue import QueuedRequest
 from burdockchute.decisions.placement import InstanceLoad
 from burdockchute.model import table as tables
 from burdockchute.model.outcomes import NotRun
@@ -170,7 +170,7 @@
             if chosen is not None and self._dispatch(request, chosen):
                 pool.suspects.remove(request)
         now = self._now()
-        aside: list[Waiting] = []
+        aside: list[QueuedRequest] = []
         while len(pool.queue) and len(aside) < MAX_ASIDE:
             free = [load for load in self.loads_of(pool) if load.room(now)]
             if not free:
@@ -186,7 +186,7 @@
         for item in aside:
             pool.queue.put_back(item)
 
-    def _start(self, pool: Pool, item: Waiting) -> bool:
+    def _start(self, pool: Pool, item: QueuedRequest) -> bool:
         request = self._requests[item.ctx.request_id]
         now = self._now()
         service_s = pool.unit_s * request.work.cost
@@ -229,7 +229,7 @@
                 text = f'no instance is open for {request.ctx.target!r}'
                 self._refuse(request, NotRun(text, 503, NO_INSTANCE_RETRY_S))
 
-    def _may_yield(self, item: Waiting) -> bool:
+    def _may_yield(self, item: QueuedRequest) -> bool:
         # Its caller could only be told that it may have run.
         return not self._requests[item.ctx.request_id].attempts
 
--- a/packages/burdockchute-entry/burdockchute_entry/pools.py
+++ b/packages/burdockchute-entry/burdockchute_entry/pools.py
@@ -13,7 +13,7 @@
 from typing import TypeVar
 
 from burdockchute.decisions import placement
-from burdockchute.decisions.fair_queue import WaitingQueue
+from burdockchute.decisions.fair_queue import FairQueue
 from burdockchute.decisions.placement import InstanceLoad
 from burdockchute.decisions.placement import SMOOTHING
 from burdockchute.decisions.placement import Work
@@ -70,7 +70,7 @@
 
     def __init__(self, key: str) -> None:
         self.key = key
-        self.queue = WaitingQueue(max_waiting=1)
+        self.queue = FairQueue(max_waiting=1)
         self.suspects: list[Request] = []
         self.unit_s = 0.0
         self.long_tokens = 0
@@ -114,7 +114,7 @@
         slots = sum(_slots_for_us(load, now) for load in loads)
         cost = request.work.cost
         return (
-            self.queue.work_before(request.ctx, cost)
+            self.queue.work_ahead_of(request.ctx, cost)
             * self.unit_s
             / max(1, slots)
         )
@@ -130,7 +130,7 @@
         """Give the requests that have waited since before a time."""
         queued = [
             requests[item.ctx.request_id]
-            for item in self.queue.since_before(before)
+            for item in self.queue.queued_before(before)
         ]
         both = queued + self.suspects
         return [request for request in both if request.waiting_since < before]
--- a/packages/burdockchute-entry/burdockchute_entry/straight/handover.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/handover.py
@@ -150,7 +150,7 @@
             found = self._begin(slot)
             if isinstance(found, Rest):
                 return found
-            if not self._sender.may_go_on(found, wait_limits.RETRY_WAIT_S):
+            if not self._sender.may_go_on(found, wait_limits.MAX_RETRY_WAIT_S):
                 return NoRest(found.reason)
 
     def _begin(self, slot: Slot) -> Rest | Elsewhere | Lost:
--- a/packages/burdockchute-entry/burdockchute_entry/straight/known_targets.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/known_targets.py
@@ -196,7 +196,7 @@
         """
         spec = pending.spec
         if not spec.model or spec.exact is not None:
-            return wait_limits.NOTHING_OPENS
+            return wait_limits.NO_OPENING
         opening = [
             (opens_at, target.load.slots)
             for target in self._targets.values()
@@ -205,7 +205,7 @@
             and (opens_at := _opens_at(target, now)) is not None
         ]
         if not opening:
-            return wait_limits.NOTHING_OPENS
+            return wait_limits.NO_OPENING
         latest = pending.ctx.deadline - self.answer_s(pending)
         slots = sum(slots for opens_at, slots in opening if opens_at <= latest)
         first_at = min(opens_at for opens_at, _slots in opening)
--- a/packages/burdockchute-entry/burdockchute_entry/straight/scheduler.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/scheduler.py
@@ -21,8 +21,8 @@
 from burdockchute.decisions import overload
 from burdockchute.decisions import returning_callers
 from burdockchute.decisions import wait_limits
-from burdockchute.decisions.fair_queue import Waiting
-from burdockchute.decisions.fair_queue import WaitingQueue
+from burdockchute.decisions.fair_queue import FairQueue
+from burdockchute.decisions.fair_queue import QueuedRequest
 from burdockchute.model.beliefs import Beliefs
 from burdockchute.model.link_news import LinkEvent
 from burdockchute.model.machines import Bounds
@@ -56,7 +56,7 @@
 class Stage(NamedTuple):
     """A queue in which a request waits, and for how many seconds."""
 
-    queue: WaitingQueue
+    queue: FairQueue
     wait_s: float
 
 
@@ -153,15 +153,15 @@
         spec = pending.spec
         if pending.resuming:
             if not self.may_host(pending):
-                return self._nobody(pending, wait_limits.NOTHING_OPENS, now)
+                return self._nobody(pending, wait_limits.NO_OPENING, now)
             return Plan((Stage(lane.resumed, deadline - now),), 0.0)
         opening = self._known.opening(pending, now)
         late_s = self._late_wait_s(pending, opening, now)
         if not self._known.hosts(pending, now):
-            if not opening.places or not late_s:
+            if not opening.slots or not late_s:
                 return self._nobody(pending, opening, now)
             return Plan((Stage(lane.late, late_s),), late_s)
-        fresh_s = wait_limits.fresh_wait_s(
+        fresh_s = wait_limits.on_time_wait_s(
             spec.objective_s, spec.elapsed_s, deadline - now
         )
         expected_s = lane.expected_wait_s(
@@ -188,7 +188,7 @@
         lane = self._lane(pending.spec.service)
         pending.is_late = stage.queue is lane.late
         if pending.is_new and pending.is_late:
-            lane.overload.note(True, self._now())
+            lane.overload.record(True, self._now())
         # One that has come back has no time to wait among the new ones.
         pending.is_new = stage.queue is lane.queue and stage.wait_s > 0
         if stage.wait_s <= 0:
@@ -255,7 +255,7 @@
             if pending.is_new:
                 left_s = self._left_s(pending, now)
                 missed = left_s is not None and left_s < 0
-                self._lane(service).overload.note(missed, now)
+                self._lane(service).overload.record(missed, now)
         self._fill(pending.spec.service)
 
     def release(self, pending: PendingRequest, slot: Slot) -> None:
@@ -302,7 +302,7 @@
         self, pending: PendingRequest, opening: wait_limits.Opening, now: float
     ) -> float:
         left_s = pending.ctx.deadline - now
-        late_s = wait_limits.late_wait_s(pending.spec.objective_s, left_s)
+        late_s = wait_limits.overdue_wait_s(pending.spec.objective_s, left_s)
         if opening.in_s is None:
             return late_s
         answer_s = self._known.answer_s(pending)
@@ -316,11 +316,11 @@
         # The overload as it is on arrival; the wait until the refusal is
         # short against it.
         lane = self._lane(pending.spec.service)
-        lasted_s = lane.overload.lasted_s(now)
+        lasted_s = lane.overload.duration_s(now)
         if lasted_s is None:
             return late_s
         left_s = pending.ctx.deadline - now
-        return overload.retry_in_s(
+        return overload.retry_delay_s(
             max(late_s, returning_callers.least_s(left_s)),
             lasted_s,
             left_s - self._known.answer_s(pending) - late_s,
@@ -368,26 +368,26 @@
     def _refuse_hopeless(self, lane: ServiceQueue) -> None:
         # The weights that a stream was begun on may go while it waits.
         now = self._now()
-        for item in lane.resumed.since_before(now):
+        for item in lane.resumed.queued_before(now):
             pending = self._waiting[item.ctx.request_id]
             if pending.slot.ready() or self.may_host(pending):
                 continue
             pending.slot.set(
-                self._nobody(pending, wait_limits.NOTHING_OPENS, now)
+                self._nobody(pending, wait_limits.NO_OPENING, now)
             )
 
     def _may_wait_late(
         self, lane: ServiceQueue, pending: PendingRequest
     ) -> bool:
         now = self._now()
-        return wait_limits.may_wait_late(
+        return wait_limits.may_wait_overdue(
             len(lane.late),
             lane.late_served_lately(now),
-            self._known.opening(pending, now).places,
+            self._known.opening(pending, now).slots,
         )
 
     def _offer(
-        self, queue: WaitingQueue, pending: PendingRequest, retry_s: float
+        self, queue: FairQueue, pending: PendingRequest, retry_s: float
     ) -> None:
         ctx = pending.ctx
         cost = pending.work.cost
@@ -415,9 +415,9 @@
         now = self._now()
         survey = self._known.survey(service, now)
         is_engine = self._known.cost(service) is not None
-        reserve = lane.overload.late_reserve(now)
+        reserve = lane.overload.overdue_reserve(now)
         for queue in lane.queues:
-            aside: list[Waiting] = []
+            aside: list[QueuedRequest] = []
             needs_slot = is_engine and queue is lane.late
             is_shared = is_engine and queue is not lane.resumed
             while len(queue) and len(aside) < MAX_ASIDE:
@@ -453,7 +453,7 @@
             lane.note_late_served(now)
         elif pending.is_new and not pending.spec.model:
             # Others are on time or not once their prompt is read.
-            lane.overload.note(False, now)
+            lane.overload.record(False, now)
         pending.slot.set(self._taken(pending, target, now))
         survey.taken(target)
         return True
@@ -473,7 +473,7 @@
     def _left_s(self, pending: PendingRequest, now: float) -> float | None:
         # None for a request that can't be on time.
         if pending.resuming:
-            return wait_limits.RESUME_BEGIN_S
+            return wait_limits.RESUME_START_LIMIT_S
         if pending.is_late:
             return None
         spent_s = pending.spec.elapsed_s + now - pending.ctx.arrived
--- a/packages/burdockchute-entry/burdockchute_entry/straight/service_queues.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/service_queues.py
@@ -8,8 +8,8 @@
 from gevent import event as events
 
 from burdockchute.decisions import wait_limits
-from burdockchute.decisions.fair_queue import WaitingQueue
-from burdockchute.decisions.overload import Overload
+from burdockchute.decisions.fair_queue import FairQueue
+from burdockchute.decisions.overload import OverloadDetector
 from burdockchute.decisions.placement import Work
 from burdockchute.model.requests import RequestContext
 from burdockchute_entry.pools import Pool
@@ -45,9 +45,9 @@
     def __init__(self, service: str) -> None:
         super().__init__(f'service/{service}')
         self.queue.max_waiting = MAX_WAITING
-        self.resumed = WaitingQueue(MAX_WAITING)
-        self.late = WaitingQueue(MAX_WAITING)
-        self.overload = Overload()
+        self.resumed = FairQueue(MAX_WAITING)
+        self.late = FairQueue(MAX_WAITING)
+        self.overload = OverloadDetector()
         self._late_served: deque[float] = deque()
 
     @property
@@ -56,7 +56,7 @@
         return not any(map(len, self.queues))
 
     @property
-    def queues(self) -> tuple[WaitingQueue, WaitingQueue, WaitingQueue]:
+    def queues(self) -> tuple[FairQueue, FairQueue, FairQueue]:
         """The queues, in the order in which they get places."""
         return self.resumed, self.queue, self.late
 
@@ -67,7 +67,7 @@
     def late_served_lately(self, now: float) -> int:
         """Give how many of the late got a place lately."""
         while self._late_served:
-            if now - self._late_served[0] <= wait_limits.LATELY_S:
+            if now - self._late_served[0] <= wait_limits.RECENT_WINDOW_S:
                 break
             self._late_served.popleft()
         return len(self._late_served)
@@ -108,4 +108,4 @@
     def was_rejected(self, target: Target, now: float) -> bool:
         """Tell whether it was rejected there a moment ago."""
         rejected_at = self.rejected.get(target.id, float('-inf'))
-        return now - rejected_at < wait_limits.REJECTED_S
+        return now - rejected_at < wait_limits.REJECTION_BACKOFF_S
--- a/packages/burdockchute-entry/burdockchute_entry/straight/streams.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/streams.py
@@ -199,7 +199,7 @@
     def _seek_again(self, lost: Lost) -> None:
         """Ask others for the rest of a lost run; raises StreamBroken."""
         self._pin()
-        wait_s = wait_limits.RETRY_WAIT_S
+        wait_s = wait_limits.MAX_RETRY_WAIT_S
         if not self._may_resume or not self._sender.may_go_on(lost, wait_s):
             raise StreamBroken(lost.reason)
         self._hand_over(None)
--- a/packages/burdockchute-entry/tests/test_survey.py
+++ b/packages/burdockchute-entry/tests/test_survey.py
@@ -11,7 +11,7 @@
 from burdockchute.decisions.engine_placement import EngineView
 from burdockchute.decisions.listing import KnownUpstream
 from burdockchute.decisions.listing import UpstreamList
-from burdockchute.decisions.overload import Overload
+from burdockchute.decisions.overload import OverloadDetector
 from burdockchute.decisions.placement import Work
 from burdockchute.model.beliefs import Beliefs
 from burdockchute.model.machines import Bounds
@@ -171,7 +171,9 @@
         scheduler = Scheduler(BOUNDS, lambda: 0.0, random.Random(1))
         known = {u.id: KnownUpstream(u, 0) for u in upstreams()}
         scheduler.update(Beliefs(upstreams=UpstreamList(known, {})))
-        with mock.patch.object(Overload, 'note', autospec=True) as note:
+        with mock.patch.object(
+            OverloadDetector, 'record', autospec=True
+        ) as note:
             for number in range(20):
                 returned = pending(number)
                 returned.spec = returned.spec._replace(elapsed_s=1.5)
--- a/packages/burdockchute/burdockchute/decisions/fair_queue.py
+++ b/packages/burdockchute/burdockchute/decisions/fair_queue.py
@@ -33,7 +33,7 @@
 AGE_S = 5.0
 
 
-class Waiting(NamedTuple):
+class QueuedRequest(NamedTuple):
     """A request that waits; `cost` is its work in generated tokens."""
 
     ctx: RequestContext
@@ -54,12 +54,12 @@
     priority: int
 
 
-class WaitingQueue:
+class FairQueue:
     """Requests that wait for the same instances."""
 
     def __init__(self, max_waiting: int) -> None:
         self.max_waiting = max_waiting
-        self._waiting: dict[str, Waiting] = {}
+        self._waiting: dict[str, QueuedRequest] = {}
         # Entries of removed requests stay in a heap until they come to its
         # top, or until they are the larger part of it.
         self._lanes: dict[_Lane, list[tuple[float, int, str]]] = {}
@@ -78,14 +78,14 @@
         cost: float,
         is_long: bool,
         now: float,
-        may_yield: Callable[[Waiting], bool] = lambda item: True,
-    ) -> list[Waiting]:
+        may_yield: Callable[[QueuedRequest], bool] = lambda item: True,
+    ) -> list[QueuedRequest]:
         """Let a request wait; gives whatever has to make room, or itself.
 
         What `may_yield` denies is kept, and the newcomer refused.
         """
         self._next_sequence += 1
-        item = Waiting(ctx, cost, is_long, now, self._next_sequence)
+        item = QueuedRequest(ctx, cost, is_long, now, self._next_sequence)
         refused = []
         if len(self._waiting) >= self.max_waiting:
             victim = self._victim(item)
@@ -96,7 +96,7 @@
         self._add(item)
         return refused
 
-    def put_back(self, item: Waiting) -> None:
+    def put_back(self, item: QueuedRequest) -> None:
         """Let a request that had its turn in vain wait at its old place."""
         customer = item.ctx.customer
         self._virtual_finish[customer] = (
@@ -104,7 +104,7 @@
         )
         self._add(item)
 
-    def pop(self, now: float, allow_long: bool = True) -> Waiting | None:
+    def pop(self, now: float, allow_long: bool = True) -> QueuedRequest | None:
         """Take out the request whose turn it is."""
         lane = self._next_lane(now, allow_long)
         if lane is None:
@@ -119,7 +119,7 @@
         self._virtual_finish[lane.customer] = start + item.cost
         return item
 
-    def remove(self, request_id: str) -> Waiting | None:
+    def remove(self, request_id: str) -> QueuedRequest | None:
         """Take out one request, whoever's turn it is."""
         item = self._waiting.pop(request_id, None)
         if item is None:
@@ -136,11 +136,11 @@
             del self._work[_class_of(item)]
         return item
 
-    def since_before(self, at: float) -> list[Waiting]:
+    def queued_before(self, at: float) -> list[QueuedRequest]:
         """Give the requests that have waited since before a time."""
         return [item for item in self._waiting.values() if item.since < at]
 
-    def work_before(self, ctx: RequestContext, cost: float) -> float:
+    def work_ahead_of(self, ctx: RequestContext, cost: float) -> float:
         """Give the work that is done before a request that came now.
 
         Only work of at least its priority counts, and other customers come
@@ -162,7 +162,7 @@
         """Give the work that waits, in generated tokens."""
         return sum(self._work.values())
 
-    def _add(self, item: Waiting) -> None:
+    def _add(self, item: QueuedRequest) -> None:
         lane = _lane_of(item)
         entry = (item.ctx.deadline, item.sequence, item.ctx.request_id)
         heapq.heappush(self._lanes.setdefault(lane, []), entry)
@@ -189,7 +189,7 @@
                 chosen = lane
         return chosen
 
-    def _victim(self, newcomer: Waiting) -> Waiting:
+    def _victim(self, newcomer: QueuedRequest) -> QueuedRequest:
         lowest = min(lane.priority for lane in self._lanes)
         if newcomer.ctx.priority < lowest:
             return newcomer
@@ -228,14 +228,14 @@
         return item is not None and item.sequence == entry[1]
 
 
-def _lane_of(item: Waiting) -> _Lane:
+def _lane_of(item: QueuedRequest) -> _Lane:
     return _Lane(item.ctx.customer, item.ctx.priority, item.is_long)
 
 
-def _class_of(item: Waiting) -> _Class:
+def _class_of(item: QueuedRequest) -> _Class:
     return _Class(item.ctx.customer, item.ctx.priority)
 
 
-def _effective_priority(item: Waiting, now: float) -> int:
+def _effective_priority(item: QueuedRequest, now: float) -> int:
     waited = max(0.0, now - item.since)
     return item.ctx.priority + math.floor(waited / AGE_S)
--- a/packages/burdockchute/burdockchute/decisions/overload.py
+++ b/packages/burdockchute/burdockchute/decisions/overload.py
@@ -24,7 +24,7 @@
 LEAST_COUNT = 6
 
 # The part of an engine's slots that is kept free of late work.
-LATE_RESERVE = 0.5
+OVERDUE_RESERVE = 0.5
 
 
 def is_overloaded(count: int, missed: int) -> bool:
@@ -36,22 +36,22 @@
     return count >= LEAST_COUNT and missed > MISSED_SHARE * count
 
 
-def retry_in_s(least_s: float, lasted_s: float, left_s: float) -> float:
+def retry_delay_s(least_s: float, lasted_s: float, left_s: float) -> float:
     """Give when a caller who is sent away may come back.
 
     An overload that has lasted for so long is likely to last as long again.
     `left_s` is the time that the caller then needs to be there for its
     answer; one without that time hears the least.
 
-    >>> retry_in_s(0.5, 0.0, 4.0), retry_in_s(0.5, 2.0, 4.0)
+    >>> retry_delay_s(0.5, 0.0, 4.0), retry_delay_s(0.5, 2.0, 4.0)
     (0.5, 2.5)
-    >>> retry_in_s(0.5, 9.0, 4.0), retry_in_s(0.5, 9.0, 0.1)
+    >>> retry_delay_s(0.5, 9.0, 4.0), retry_delay_s(0.5, 9.0, 0.1)
     (4.0, 0.5)
     """
     return max(least_s, min(least_s + lasted_s, left_s))
 
 
-class Overload:
+class OverloadDetector:
     """What became of the new requests of one service lately."""
 
     def __init__(self) -> None:
@@ -59,20 +59,20 @@
         self._missed = 0
         self._since: float | None = None
 
-    def note(self, missed: bool, now: float) -> None:
+    def record(self, missed: bool, now: float) -> None:
         """Note that a new request was on time, or missed its objective."""
         self._ended.append((now, missed))
         self._missed += missed
         self._look(now)
 
-    def lasted_s(self, now: float) -> float | None:
+    def duration_s(self, now: float) -> float | None:
         """Give how long the service is overloaded, None if it is not."""
         self._look(now)
         return None if self._since is None else now - self._since
 
-    def late_reserve(self, now: float) -> float:
+    def overdue_reserve(self, now: float) -> float:
         """Give the part of an engine's slots that late work leaves free."""
-        return 0.0 if self.lasted_s(now) is None else LATE_RESERVE
+        return 0.0 if self.duration_s(now) is None else OVERDUE_RESERVE
 
     def _look(self, now: float) -> None:
         while self._ended and now - self._ended[0][0] > WINDOW_S:
--- a/packages/burdockchute/burdockchute/decisions/wait_limits.py
+++ b/packages/burdockchute/burdockchute/decisions/wait_limits.py
@@ -48,7 +48,7 @@
 # An objective may be shorter than what a place takes to come free.
 LEAST_LATE_S = 0.25
 # What the late got in so long tells how many more may wait.
-LATELY_S = 0.6
+RECENT_WINDOW_S = 0.6
 PROBES = 2
 
 # Engines open one after the other, and the estimate of when is as wrong.
@@ -56,14 +56,14 @@
 
 # An upstream that had no room for the rest of a stream is asked again after
 # this time. Each rejection takes a retry of the entry.
-REJECTED_S = 0.5
+REJECTION_BACKOFF_S = 0.5
 
 # Whoever hears at once that its stream has ended may ask anew by itself, so
 # it does not wait longer than this for the next retry of the entry.
-RETRY_WAIT_S = 0.5
+MAX_RETRY_WAIT_S = 0.5
 
 # The rest of a stream goes where it is expected to begin within this time.
-RESUME_BEGIN_S = 1.2
+RESUME_START_LIMIT_S = 1.2
 
 # A route without an objective lets its requests wait this long.
 DEFAULT_WAIT_S = 1.0
@@ -73,14 +73,14 @@
     """When engines open that take nothing now, and how many places that is.
 
     `in_s` is until the first of them opens, None where none is known to;
-    `places` is the part of one entry.
+    `slots` is the part of one entry.
     """
 
     in_s: float | None
-    places: float
+    slots: float
 
 
-NOTHING_OPENS = Opening(None, 0.0)
+NO_OPENING = Opening(None, 0.0)
 
 
 def opening_wait_s(opening: Opening, answer_s: float, left_s: float) -> float:
@@ -104,13 +104,15 @@
     return min(spare_s, opening.in_s + AFTER_OPENING_S)
 
 
-def fresh_wait_s(objective_s: float, elapsed_s: float, left_s: float) -> float:
+def on_time_wait_s(
+    objective_s: float, elapsed_s: float, left_s: float
+) -> float:
     """Give how long a request may wait among the fresh ones.
 
     `elapsed_s` is what its caller has spent on it before, by an earlier
     sending that was refused; `left_s` is until its deadline.
 
-    >>> fresh_wait_s(0.4, 0.0, 6.0), fresh_wait_s(0.4, 0.5, 5.5)
+    >>> on_time_wait_s(0.4, 0.0, 6.0), on_time_wait_s(0.4, 0.5, 5.5)
     (0.2, 0.0)
     """
     if not objective_s:
@@ -119,10 +121,10 @@
     return max(0.0, min(wanted_s, left_s))
 
 
-def late_wait_s(objective_s: float, left_s: float) -> float:
+def overdue_wait_s(objective_s: float, left_s: float) -> float:
     """Give how long it may wait in all once it can't be on time.
 
-    >>> late_wait_s(0.5, 6.0), late_wait_s(0.5, 1.0), late_wait_s(0.1, 6.0)
+    >>> overdue_wait_s(0.5, 6.0), overdue_wait_s(0.5, 1.0), overdue_wait_s(0.1, 6.0)
     (0.75, 0.4, 0.25)
     """
     wanted_s = LATE_OBJECTIVES * objective_s or DEFAULT_WAIT_S
@@ -130,7 +132,7 @@
     return max(0.0, min(wanted_s, LATE_SHARE * left_s))
 
 
-def may_wait_late(
+def may_wait_overdue(
     waiting: int, served_lately: int, opening_places: float
 ) -> bool:
     """Tell whether one more may wait among the late.
@@ -138,7 +140,7 @@
     `served_lately` got a place in the last LATELY_S, `opening_places` are
     those of engines that are about to take requests again.
 
-    >>> may_wait_late(3, 0, 0.0), may_wait_late(3, 9, 0.0)
+    >>> may_wait_overdue(3, 0, 0.0), may_wait_overdue(3, 9, 0.0)
     (False, True)
     """
     return waiting < max(PROBES, served_lately, opening_places)
--- a/packages/burdockchute/tests/decisions/test_fair_queue.py
+++ b/packages/burdockchute/tests/decisions/test_fair_queue.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from burdockchute.decisions.fair_queue import AGE_S
-from burdockchute.decisions.fair_queue import WaitingQueue
+from burdockchute.decisions.fair_queue import FairQueue
 from burdockchute_testing.builders import requests
 
 LIMIT = 6
@@ -17,7 +17,7 @@
 
 class WaitingTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.queue = WaitingQueue(max_waiting=10)
+        self.queue = FairQueue(max_waiting=10)
 
     def offer(self, name, now=0.0, is_long=False, cost=1.0, **changes):
         ctx = requests.request(request_id=name, **changes)
@@ -84,7 +84,7 @@
         for number in range(8):
             self.offer(f'flood{number}', customer='a')
         ctx = requests.request(customer='b')
-        self.assertEqual(2.0, self.queue.work_before(ctx, 2.0))
+        self.assertEqual(2.0, self.queue.work_ahead_of(ctx, 2.0))
 
 
 class QueueMachine(stateful.RuleBasedStateMachine):
@@ -92,7 +92,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.queue = WaitingQueue(LIMIT)
+        self.queue = FairQueue(LIMIT)
         self.inside: dict[str, tuple[int, bool]] = {}
         self.popped: list = []
         self.now = 0.0
--- a/packages/burdockchute/tests/decisions/test_wait_limits.py
+++ b/packages/burdockchute/tests/decisions/test_wait_limits.py
@@ -9,13 +9,13 @@
 
 class PatienceTest(unittest.TestCase):
     def test_fresh_requests_wait_for_part_of_the_objective(self):
-        self.assertEqual(0.25, wait_limits.fresh_wait_s(0.5, 0.0, 6.0))
+        self.assertEqual(0.25, wait_limits.on_time_wait_s(0.5, 0.0, 6.0))
 
     def test_a_caller_who_comes_back_late_is_not_fresh(self):
-        self.assertEqual(0.0, wait_limits.fresh_wait_s(0.5, 0.4, 5.6))
+        self.assertEqual(0.0, wait_limits.on_time_wait_s(0.5, 0.4, 5.6))
 
     def test_a_route_without_objective_still_has_a_bound(self):
-        self.assertEqual(1.0, wait_limits.fresh_wait_s(0.0, 0.0, 6.0))
+        self.assertEqual(1.0, wait_limits.on_time_wait_s(0.0, 0.0, 6.0))
 
     def test_the_late_wait_only_where_there_is_something_to_wait_for(self):
         """Fresh requests take all places for half a minute.
@@ -23,10 +23,10 @@
         Each late one would wait for two seconds to be refused, and have
         lost that time for another try.
         """
-        self.assertTrue(wait_limits.may_wait_late(1, 0, 0.0))
-        self.assertFalse(wait_limits.may_wait_late(2, 0, 0.0))
-        self.assertTrue(wait_limits.may_wait_late(7, 8, 0.0))
-        self.assertTrue(wait_limits.may_wait_late(7, 0, 12.5))
+        self.assertTrue(wait_limits.may_wait_overdue(1, 0, 0.0))
+        self.assertFalse(wait_limits.may_wait_overdue(2, 0, 0.0))
+        self.assertTrue(wait_limits.may_wait_overdue(7, 8, 0.0))
+        self.assertTrue(wait_limits.may_wait_overdue(7, 0, 12.5))
 
     def test_a_shortage_that_is_over_does_not_last_in_the_queue(self):
         """Engines that were away for two seconds are back.
@@ -37,10 +37,10 @@
         the engines are back.
         """
         backlog, per_s, carried_per_s = 160.0, 80.0, 107.0
-        waits_s = wait_limits.late_wait_s(0.45, 6.0)
+        waits_s = wait_limits.overdue_wait_s(0.45, 6.0)
         left = min(backlog, per_s * waits_s)
         self.assertLess(left / (carried_per_s - per_s), 3.0)
 
     def test_nobody_waits_beyond_the_deadline(self):
-        self.assertEqual(0.1, wait_limits.fresh_wait_s(0.5, 0.0, 0.1))
-        self.assertEqual(0.0, wait_limits.late_wait_s(0.4, -1.0))
+        self.assertEqual(0.1, wait_limits.on_time_wait_s(0.5, 0.0, 0.1))
+        self.assertEqual(0.0, wait_limits.overdue_wait_s(0.4, -1.0))
