--- a/packages/burdockchute-entry/burdockchute_entry/straight/known_targets.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/known_targets.py
@@ -227,22 +227,24 @@
             for target in self._targets.values()
             if target.upstream.service == service
         )
-        full = engine_placement.EngineView('', 0, 0, slots, 1, 0, unseen=slots)
-        return engine_placement.lasts_s(full, wanted_of(pending), cost)
+        full = engine_placement.EngineView(
+            '', 0, 0, slots, 1, 0, unreported=slots
+        )
+        return engine_placement.last_token_s(full, wanted_of(pending), cost)
 
     def view(self, target: Target, now: float) -> engine_placement.EngineView:
         """Give what is known of a target as an engine."""
         if now >= target.share_until:
             self._draw_share(target, now)
         region = self._regions.get(target.upstream.zone)
-        is_far = region is not None and region != self._region
-        return target.view(is_far, now)
+        is_remote = region is not None and region != self._region
+        return target.view(is_remote, now)
 
     def _draw_share(self, target: Target, now: float) -> None:
         cost = self.cost(target.upstream.service)
         most = float('inf')
         if cost is not None and self.entries > 1:
-            most = engine_placement.prompts_read(cost, targets.SHARE_S)
+            most = engine_placement.max_prompts(cost, targets.SHARE_S)
         target.draw_share(self.entries, most, self._rng.random(), now)
 
     # One round of giving out places.
@@ -284,12 +286,12 @@
         views = [view for _target, view in found.values()]
         wanted = wanted_of(pending)
         begun = pending.resuming
-        drawn = engine_placement.draw(views, self._rng)
-        view = engine_placement.choose(
+        drawn = engine_placement.sample_engines(views, self._rng)
+        view = engine_placement.choose_engine(
             drawn, wanted, cost, left_s, reserve, begun
         )
         if view is None and len(drawn) < len(views):
-            view = engine_placement.choose(
+            view = engine_placement.choose_engine(
                 views, wanted, cost, left_s, reserve, begun
             )
         return found[view.name][0] if view else None
@@ -342,9 +344,9 @@
         return versions.least_allowed(history, self.bounds.version_s, now)
 
 
-def wanted_of(pending: PendingRequest) -> engine_placement.Wanted:
+def wanted_of(pending: PendingRequest) -> engine_placement.RequestSize:
     """Give what placement needs of a request."""
-    return engine_placement.Wanted(
+    return engine_placement.RequestSize(
         pending.ctx.prompt_tokens, pending.ctx.max_tokens
     )
 
--- a/packages/burdockchute-entry/burdockchute_entry/straight/scheduler.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/scheduler.py
@@ -226,7 +226,7 @@
             return None
         views = [self._known.view(target, now) for target in hosts.values()]
         staying = [v for v in views if engine_placement.stays_open(v, rest_s)]
-        view = engine_placement.choose(
+        view = engine_placement.choose_engine(
             staying, wanted_of(pending), cost, within_s, begun=True
         )
         return self._taken(pending, hosts[view.name], now) if view else None
--- a/packages/burdockchute-entry/burdockchute_entry/straight/targets.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/targets.py
@@ -95,12 +95,12 @@
         `chance` is drawn from 0 to 1; all entries together may use `most`.
         """
         free = self.load.slots - self.load.in_flight(now)
-        self.share = engine_placement.share_of(
+        self.share = engine_placement.random_share(
             min(free, most), entries, chance
         )
         self.share_until = now + SHARE_S
 
-    def view(self, is_far: bool, now: float) -> EngineView:
+    def view(self, is_remote: bool, now: float) -> EngineView:
         """Give what is known of it as an engine that entries share."""
         sent_at = [item.sent_at for item in self.unstarted.values()]
         free = health.room(self.load.room(now), sent_at, self.is_behind, now)
@@ -109,15 +109,15 @@
             ours=self.load.ours,
             others=self.load.in_flight(now) - self.load.ours,
             slots=self.load.slots,
-            room=0 if self.is_held else free,
-            reading_tokens=sum(
+            headroom=0 if self.is_held else free,
+            unread_tokens=sum(
                 item.prompt_tokens for item in self.unstarted.values()
             ),
             slowness=self.slowness,
             closes_in_s=None
             if self.closes_at is None
             else self.closes_at - now,
-            is_far=is_far,
+            is_remote=is_remote,
             share=self.share,
         )
 
--- a/packages/burdockchute-entry/tests/test_slow_links.py
+++ b/packages/burdockchute-entry/tests/test_slow_links.py
@@ -73,7 +73,7 @@
         """Send a request to each engine that has room."""
         now = self.site.now
         for target in self.targets:
-            if target.view(False, now).room <= 0:
+            if target.view(False, now).headroom <= 0:
                 continue
             name = f'q-{next(self._ids)}'
             target.unstarted[name] = UnstartedRequest(900, now)
--- a/packages/burdockchute/burdockchute/decisions/engine_placement.py
+++ b/packages/burdockchute/burdockchute/decisions/engine_placement.py
@@ -13,7 +13,7 @@
 there by the last report, and how the engine works by its operators' figures.
 All entries see the same report at the same moment and would decide alike. So
 each uses only its part of an engine's free slots, drawn by chance
-(`share_of`), and compares only a few engines for each request (`draw`). Of
+(`random_share`), and compares only a few engines for each request (`sample_engines`). Of
 these the one with the least expected time is taken, and none whose expected
 time would break the objective; the request then waits for a better moment.
 
@@ -69,14 +69,14 @@
 FAR_COST_S = 0.05
 
 # So many engines are compared for a request, drawn at random.
-NEAR_DRAWN = 2
-FAR_DRAWN = 1
+LOCAL_SAMPLE = 2
+REMOTE_SAMPLE = 1
 
 # A step of the batch is slowed by the prompts that are read between steps.
 STEP_SLOWDOWN = 1.4
 
 
-class Wanted(NamedTuple):
+class RequestSize(NamedTuple):
     """What placement needs of a request; tokens of prompt and answer."""
 
     prompt_tokens: int
@@ -86,25 +86,25 @@
 class EngineView(NamedTuple):
     """What an entry knows of one engine.
 
-    `ours` and `others` are requests there, `reading_tokens` those of our
-    prompts whose answers have not begun. `room` is how many more the window
+    `ours` and `others` are requests there, `unread_tokens` those of our
+    prompts whose answers have not begun. `headroom` is how many more the window
     and the slots allow, `share` how many of these new requests of this entry
-    may take, None for all. `unseen` are requests that the other entries have
+    may take, None for all. `unreported` are requests that the other entries have
     probably sent since the last report. `slowness` is 1 for an engine of the
     usual speed. `closes_in_s` is when it takes nothing new any more, None
-    for no such time. `is_far` tells that it stands in another region.
+    for no such time. `is_remote` tells that it stands in another region.
     """
 
     name: str
     ours: int
     others: int
     slots: int
-    room: int
-    reading_tokens: int
-    unseen: int = 0
+    headroom: int
+    unread_tokens: int
+    unreported: int = 0
     slowness: float = 1.0
     closes_in_s: float | None = None
-    is_far: bool = False
+    is_remote: bool = False
     share: int | None = None
 
 
@@ -112,17 +112,19 @@
     view: EngineView, prompt_tokens: int, cost: EngineCost
 ) -> float:
     """Estimate the time from sending a prompt to its first token."""
-    in_hand = view.ours + view.others + view.unseen
-    others_reading = view.others * OTHERS_READING + view.unseen
+    in_hand = view.ours + view.others + view.unreported
+    others_reading = view.others * OTHERS_READING + view.unreported
     others_tokens = others_reading * cost.usual_prompt_tokens
-    tokens = prompt_tokens + view.reading_tokens + others_tokens
+    tokens = prompt_tokens + view.unread_tokens + others_tokens
     pass_s = cost.steps_a_pass * (cost.step_s + cost.request_step_s * in_hand)
     passes = 1 + tokens / PASS_TOKENS
     read_s = tokens / cost.prompt_tokens_per_s if tokens else 0.0
     return view.slowness * (passes * pass_s + read_s)
 
 
-def lasts_s(view: EngineView, wanted: Wanted, cost: EngineCost) -> float:
+def last_token_s(
+    view: EngineView, wanted: RequestSize, cost: EngineCost
+) -> float:
     """Estimate the time from sending a request to its last token."""
     in_hand = view.ours + view.others + 1
     step_s = STEP_SLOWDOWN * (cost.step_s + cost.request_step_s * in_hand)
@@ -140,7 +142,7 @@
 
     `reserve` is the part of the slots that is kept for those who can.
     """
-    free = view.slots - view.ours - view.others - view.unseen
+    free = view.slots - view.ours - view.others - view.unreported
     return free > reserve * view.slots
 
 
@@ -149,13 +151,13 @@
     return view.share is None or view.share > 0
 
 
-def prompts_read(cost: EngineCost, for_s: float) -> float:
+def max_prompts(cost: EngineCost, for_s: float) -> float:
     """Give how many prompts an engine may get in so long, one at least.
 
     Those beyond what it reads in that time wait for each other.
 
     >>> cost = EngineCost(0.0133, 0.00006, 12_700.0, 5, 950.0, 73.0)
-    >>> round(prompts_read(cost, 0.15), 1)
+    >>> round(max_prompts(cost, 0.15), 1)
     2.0
     """
     if not cost.usual_prompt_tokens:
@@ -164,31 +166,31 @@
     return max(1.0, read)
 
 
-def share_of(free: float, entries: int, chance: float) -> int:
+def random_share(free: float, entries: int, chance: float) -> int:
     """Give how many of an engine's free slots one of the entries may use.
 
     All entries see the same free slots and none sees what the others send,
     so each takes its part at random. `chance` is drawn evenly from 0 to 1.
 
-    >>> share_of(5, 36, 0.5), share_of(5, 36, 0.9), share_of(12, 5, 0.5)
+    >>> random_share(5, 36, 0.5), random_share(5, 36, 0.9), random_share(12, 5, 0.5)
     (0, 1, 2)
     """
     return int(max(0.0, free) / max(1, entries) + chance)
 
 
-def draw(
+def sample_engines(
     views: Sequence[EngineView], rng: random.Random
 ) -> Sequence[EngineView]:
     """Give the engines to compare: a few of the own region, one of others."""
-    near = [view for view in views if not view.is_far]
-    far = [view for view in views if view.is_far]
-    drawn = rng.sample(near, min(NEAR_DRAWN, len(near)))
-    return drawn + rng.sample(far, min(FAR_DRAWN, len(far)))
+    near = [view for view in views if not view.is_remote]
+    far = [view for view in views if view.is_remote]
+    drawn = rng.sample(near, min(LOCAL_SAMPLE, len(near)))
+    return drawn + rng.sample(far, min(REMOTE_SAMPLE, len(far)))
 
 
-def choose(
+def choose_engine(
     views: Sequence[EngineView],
-    wanted: Wanted,
+    wanted: RequestSize,
     cost: EngineCost,
     left_s: float | None,
     reserve: float = 0.0,
@@ -223,20 +225,20 @@
     return best if expected_s <= bound_s else None
 
 
-def _price_s(view: EngineView, wanted: Wanted, cost: EngineCost) -> float:
+def _price_s(view: EngineView, wanted: RequestSize, cost: EngineCost) -> float:
     price_s = first_token_s(view, wanted.prompt_tokens, cost)
-    if view.is_far:
+    if view.is_remote:
         price_s += FAR_COST_S
     if view.closes_in_s is None:
         return price_s
     longer = wanted._replace(
         answer_tokens=int(wanted.answer_tokens * LENGTH_SPREAD)
     )
-    outlasts_s = lasts_s(view, longer, cost) - view.closes_in_s
+    outlasts_s = last_token_s(view, longer, cost) - view.closes_in_s
     return price_s + (CLOSING_COST_S if outlasts_s > CLOSING_SLACK_S else 0.0)
 
 
 def _is_open(view: EngineView, late_reserve: float | None) -> bool:
-    if view.room <= 0:
+    if view.headroom <= 0:
         return False
     return late_reserve is None or has_free_slot(view, late_reserve)
--- a/packages/burdockchute/tests/decisions/test_engine_placement.py
+++ b/packages/burdockchute/tests/decisions/test_engine_placement.py
@@ -7,7 +7,7 @@
 
 from burdockchute.decisions import engine_placement
 from burdockchute.decisions.engine_placement import EngineView
-from burdockchute.decisions.engine_placement import Wanted
+from burdockchute.decisions.engine_placement import RequestSize
 from burdockchute.model.routes import EngineCost
 
 # Figures of an engine as its operators would declare them.
@@ -16,14 +16,14 @@
 
 
 def view(name, ours=0, others=0, **changes):
-    room = 16 - ours - others
-    base = EngineView(name, ours, others, 16, room, 0)
+    headroom = 16 - ours - others
+    base = EngineView(name, ours, others, 16, headroom, 0)
     return base._replace(**changes)
 
 
 def choose(views, left_s=0.4, prompt=PROMPT, answer=95):
-    found = engine_placement.choose(
-        views, Wanted(prompt, answer), COST, left_s
+    found = engine_placement.choose_engine(
+        views, RequestSize(prompt, answer), COST, left_s
     )
     return found.name if found else None
 
@@ -39,8 +39,8 @@
         others = [view(f'busy-{n}', ours=1, others=7) for n in range(5)]
         sent = 0
         while True:
-            back = view('back', ours=sent, reading_tokens=sent * PROMPT)
-            back = back._replace(unseen=5 * sent)
+            back = view('back', ours=sent, unread_tokens=sent * PROMPT)
+            back = back._replace(unreported=5 * sent)
             if choose([back, *others]) != 'back':
                 break
             sent += 1
@@ -55,49 +55,55 @@
         rng = random.Random(1)
         taken = [
             sum(
-                engine_placement.share_of(5, 36, rng.random())
+                engine_placement.random_share(5, 36, rng.random())
                 for _e in range(36)
             )
             for _report in range(300)
         ]
         self.assertAlmostEqual(5.0, sum(taken) / len(taken), delta=0.5)
-        self.assertEqual(5, engine_placement.share_of(5, 1, 0.99))
-        self.assertEqual(0, engine_placement.share_of(-2, 4, 0.99))
+        self.assertEqual(5, engine_placement.random_share(5, 1, 0.99))
+        self.assertEqual(0, engine_placement.random_share(-2, 4, 0.99))
 
     def test_the_rest_of_a_stream_is_bound_to_no_share(self):
         """Its caller has a part of the answer; new ones draw their share."""
         views = [view('a', share=0)]
-        wanted = Wanted(PROMPT, 95)
-        self.assertIsNone(engine_placement.choose(views, wanted, COST, 0.4))
-        found = engine_placement.choose(views, wanted, COST, 1.2, begun=True)
+        wanted = RequestSize(PROMPT, 95)
+        self.assertIsNone(
+            engine_placement.choose_engine(views, wanted, COST, 0.4)
+        )
+        found = engine_placement.choose_engine(
+            views, wanted, COST, 1.2, begun=True
+        )
         self.assertIsNotNone(found)
 
     def test_few_engines_are_compared_most_of_the_own_region(self):
         """All entries would choose the one that looks best to all."""
         rng = random.Random(1)
         views = [view(f'near-{n}') for n in range(9)]
-        views += [view(f'far-{n}', is_far=True) for n in range(30)]
-        drawn = engine_placement.draw(views, rng)
+        views += [view(f'far-{n}', is_remote=True) for n in range(30)]
+        drawn = engine_placement.sample_engines(views, rng)
+        self.assertEqual(
+            engine_placement.LOCAL_SAMPLE, sum(not v.is_remote for v in drawn)
+        )
         self.assertEqual(
-            engine_placement.NEAR_DRAWN, sum(not v.is_far for v in drawn)
+            engine_placement.REMOTE_SAMPLE, sum(v.is_remote for v in drawn)
         )
         self.assertEqual(
-            engine_placement.FAR_DRAWN, sum(v.is_far for v in drawn)
+            views[:1], engine_placement.sample_engines(views[:1], rng)
         )
-        self.assertEqual(views[:1], engine_placement.draw(views[:1], rng))
 
     def test_late_work_leaves_a_reserve(self):
         """New callers miss their objective while late ones fill engines."""
         views = [view('a', others=9)]
-        wanted = Wanted(PROMPT, 95)
+        wanted = RequestSize(PROMPT, 95)
         self.assertIsNotNone(
-            engine_placement.choose(views, wanted, COST, None)
+            engine_placement.choose_engine(views, wanted, COST, None)
         )
         self.assertIsNone(
-            engine_placement.choose(views, wanted, COST, None, 0.5)
+            engine_placement.choose_engine(views, wanted, COST, None, 0.5)
         )
         self.assertIsNotNone(
-            engine_placement.choose(views, wanted, COST, 0.4, 0.5)
+            engine_placement.choose_engine(views, wanted, COST, 0.4, 0.5)
         )
 
     def test_least_expected_time_wins(self):
@@ -113,7 +119,7 @@
         It waits at the entry, where the next free moment of any engine
         counts, and does not slow down those that are on time.
         """
-        full = [view('a', ours=4, reading_tokens=6 * PROMPT)]
+        full = [view('a', ours=4, unread_tokens=6 * PROMPT)]
         self.assertIsNone(choose(full))
 
     def test_a_long_prompt_is_not_refused_for_its_own_length(self):
@@ -127,8 +133,8 @@
         """
         self.assertEqual('a', choose([view('a', others=15)], left_s=None))
         self.assertIsNone(choose([view('a', others=16)], left_s=None))
-        unseen = view('a', others=13, unseen=3)
-        self.assertIsNone(choose([unseen], left_s=None))
+        unreported = view('a', others=13, unreported=3)
+        self.assertIsNone(choose([unreported], left_s=None))
 
     def test_long_answers_keep_away_from_an_engine_about_to_load(self):
         """An engine takes nothing new in a second, to load a version.
@@ -149,9 +155,9 @@
         self.assertTrue(engine_placement.stays_open(closing, 0.5))
 
     def test_an_engine_nearby_is_taken_among_equals(self):
-        far = view('far', others=3, is_far=True)
+        far = view('far', others=3, is_remote=True)
         self.assertEqual('near', choose([far, view('near', others=4)]))
         self.assertEqual('far', choose([far, view('near', others=14)]))
 
     def test_an_engine_without_room_gets_nothing(self):
-        self.assertIsNone(choose([view('a', room=0)]))
+        self.assertIsNone(choose([view('a', headroom=0)]))
