--- a/packages/burdockchute-entry/burdockchute_entry/straight/targets.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/targets.py
@@ -103,7 +103,9 @@
     def view(self, is_remote: bool, now: float) -> EngineView:
         """Give what is known of it as an engine that entries share."""
         sent_at = [item.sent_at for item in self.unstarted.values()]
-        free = health.room(self.load.room(now), sent_at, self.is_behind, now)
+        free = health.headroom(
+            self.load.room(now), sent_at, self.is_behind, now
+        )
         return EngineView(
             name=self.id,
             ours=self.load.ours,
@@ -182,7 +184,7 @@
 
     def record_failure(self, now: float) -> None:
         """Note a request or connection that the upstream failed."""
-        self.health = health.failed(self.health, now)
+        self.health = health.after_failure(self.health, now)
 
     def record_success(self, now: float) -> None:
         """Note that it answers."""
--- a/packages/burdockchute/burdockchute/decisions/health.py
+++ b/packages/burdockchute/burdockchute/decisions/health.py
@@ -35,10 +35,10 @@
 from collections.abc import Collection
 from typing import NamedTuple
 
-BLOCK_S = 0.2
+MIN_BLOCK_S = 0.2
 MAX_BLOCK_S = 1.6
 SILENT_S = 1.2
-STALLED_S = 1.0
+START_TIMEOUT_S = 1.0
 # Each is a caller who may wait in vain, so as few as can tell.
 PROBES = 1
 
@@ -50,7 +50,7 @@
     blocked_until: float = float('-inf')
 
 
-def failed(health: Health, now: float) -> Health:
+def after_failure(health: Health, now: float) -> Health:
     """Give the health after a failure.
 
     Failures that come together, as when a crash breaks all connections,
@@ -58,7 +58,7 @@
     """
     if now < health.blocked_until:
         return health
-    block_s = min(BLOCK_S * 2**health.failures, MAX_BLOCK_S)
+    block_s = min(MIN_BLOCK_S * 2**health.failures, MAX_BLOCK_S)
     return Health(health.failures + 1, now + block_s)
 
 
@@ -85,25 +85,25 @@
     >>> is_behind(False, 7.5, False, 9.0), is_behind(True, 8.5, True, 9.0)
     (True, False)
     """
-    is_late = now - sent_at > STALLED_S
+    is_late = now - sent_at > START_TIMEOUT_S
     if begun:
         return before and is_late
     return before or is_late
 
 
-def room(
+def headroom(
     free: int, sent_at: Collection[float], behind: bool, now: float
 ) -> int:
     """Give how many more an engine may get, of those that are free.
 
     `sent_at` is when the requests were sent that have not begun there.
 
-    >>> room(4, [8.5], False, 9.0), room(4, [7.9], False, 9.0)
+    >>> headroom(4, [8.5], False, 9.0), headroom(4, [7.9], False, 9.0)
     (4, 0)
-    >>> room(4, [], True, 9.0), room(4, [8.5], True, 9.0)
+    >>> headroom(4, [], True, 9.0), headroom(4, [8.5], True, 9.0)
     (1, 0)
     """
-    if any(now - at > STALLED_S for at in sent_at):
+    if any(now - at > START_TIMEOUT_S for at in sent_at):
         return 0
     if behind:
         return min(free, max(0, PROBES - len(sent_at)))
--- a/packages/burdockchute/tests/decisions/test_health.py
+++ b/packages/burdockchute/tests/decisions/test_health.py
@@ -10,7 +10,7 @@
 
 class HealthTest(unittest.TestCase):
     def test_one_failure_is_a_short_pause(self):
-        failed = health.failed(Health(), 10.0)
+        failed = health.after_failure(Health(), 10.0)
         self.assertFalse(health.is_usable(failed, 10.1))
         self.assertTrue(health.is_usable(failed, 10.2))
 
@@ -22,13 +22,13 @@
         """
         state = Health()
         for _stream in range(16):
-            state = health.failed(state, 10.0)
+            state = health.after_failure(state, 10.0)
         self.assertEqual(1, state.failures)
 
     def test_blocks_grow_and_are_bounded(self):
         state, now, blocks = Health(), 0.0, []
         for _failure in range(5):
-            state = health.failed(state, now)
+            state = health.after_failure(state, now)
             blocks.append(round(state.blocked_until - now, 2))
             now = state.blocked_until
         self.assertEqual([0.2, 0.4, 0.8, 1.6, 1.6], blocks)
