--- a/packages/burdockchute-entry/burdockchute_entry/attempts.py
+++ b/packages/burdockchute-entry/burdockchute_entry/attempts.py
@@ -88,7 +88,7 @@
             cost=admission.cost_of(ctx),
             is_long=False,
             prompt_tokens=ctx.prompt_tokens,
-            prefixes=placement.short_prefixes(ctx.prefixes),
+            prefixes=placement.truncate_prefixes(ctx.prefixes),
         )
         self.caller_gone = False
         self.is_suspect = False
--- a/packages/burdockchute-entry/burdockchute_entry/dispatcher.py
+++ b/packages/burdockchute-entry/burdockchute_entry/dispatcher.py
@@ -172,11 +172,11 @@
         now = self._now()
         aside: list[QueuedRequest] = []
         while len(pool.queue) and len(aside) < MAX_ASIDE:
-            free = [load for load in self.loads_of(pool) if load.room(now)]
+            free = [load for load in self.loads_of(pool) if load.headroom(now)]
             if not free:
                 break
             allow_long = any(
-                load.may_take_long(pool.long_share) for load in free
+                load.accepts_long(pool.long_share) for load in free
             )
             item = pool.queue.pop(now, allow_long)
             if item is None:
@@ -217,7 +217,7 @@
         request.attempts += 1
         request.pinned = pinned
         request.attempt = Attempt(attempt_id, instance, pinned, 0, now)
-        instance.load.sent(request.work, now)
+        instance.load.on_sent(request.work, now)
         return True
 
     def _refuse_stranded(self, pool: Pool) -> None:
--- a/packages/burdockchute-entry/burdockchute_entry/fleet.py
+++ b/packages/burdockchute-entry/burdockchute_entry/fleet.py
@@ -64,8 +64,8 @@
                 opened.setdefault(state.row, set()).add(state.digest)
         self.open = {row: frozenset(found) for row, found in opened.items()}
         self.services = frozenset(msg.services or ())
-        self.load.evicted(msg.evicted or ())
-        self.load.report(
+        self.load.forget_prefixes(msg.evicted or ())
+        self.load.apply_report(
             msg.running,
             msg.slots or service_slots,
             msg.entries or 1,
--- a/packages/burdockchute-entry/burdockchute_entry/pools.py
+++ b/packages/burdockchute-entry/burdockchute_entry/pools.py
@@ -109,7 +109,7 @@
     ) -> float:
         """Estimate how long a request that came now would wait."""
         loads = list(loads)
-        if any(load.room(now) for load in loads) and not len(self.queue):
+        if any(load.headroom(now) for load in loads) and not len(self.queue):
             return 0.0
         slots = sum(_slots_for_us(load, now) for load in loads)
         cost = request.work.cost
@@ -152,8 +152,8 @@
             fit = [i for i in instances if not request.avoids(i)]
             loads: Iterable[InstanceLoad] = [i.load for i in fit]
             if request.work.is_long:
-                loads = placement.long_allowed(loads, self.long_share)
-            load = placement.choose(
+                loads = placement.accepting_long(loads, self.long_share)
+            load = placement.choose_instance(
                 tuple(loads), request.work, self.unit_s, now, rng
             )
             if load is not None:
--- a/packages/burdockchute-entry/burdockchute_entry/router.py
+++ b/packages/burdockchute-entry/burdockchute_entry/router.py
@@ -236,11 +236,11 @@
         self._dispatcher.free_instance(request)
         pool = self._dispatcher.pool(request)
         service_s = now - attempt.sent_at
-        attempt.instance.load.answered(
+        attempt.instance.load.on_answered(
             request.work, service_s, pool.unit_s, now
         )
         if end.running is not None:
-            attempt.instance.load.note_in_flight(end.running, now)
+            attempt.instance.load.update_in_flight(end.running, now)
         pool.answered(service_s / request.work.cost)
         request.attempt = None
         self._suspects.answered(request.ctx.fingerprint)
@@ -255,7 +255,7 @@
     def _not_run(self, request: Request, message: messages.NotRun) -> None:
         attempt = request.attempt
         assert attempt is not None
-        attempt.instance.load.returned(request.work)
+        attempt.instance.load.on_returned(request.work)
         self._dispatcher.free_instance(request)
         request.attempt = None
         request.attempts -= 1
@@ -301,7 +301,7 @@
         load = attempt.instance.load
         mean_unit_s = self._dispatcher.pool(request).unit_s
         service_s = now - attempt.sent_at
-        load.failed(request.work, service_s, mean_unit_s, now)
+        load.on_failed(request.work, service_s, mean_unit_s, now)
 
     def _count_late(self, request: Request, attempt: Attempt) -> None:
         # A request that was sent shortly before its deadline is late
@@ -311,7 +311,7 @@
         if self._now() - attempt.sent_at > LATE_FACTOR * usual_s:
             self._count_failure(request, attempt)
         else:
-            attempt.instance.load.returned(request.work)
+            attempt.instance.load.on_returned(request.work)
 
     def _count_crash(self, request: Request, attempt: Attempt) -> None:
         ctx = request.ctx
@@ -352,7 +352,7 @@
             # its caller may come back with the same key.
             logs.event('caller_gone', request_id=event.request_id)
         else:
-            request.attempt.instance.load.returned(request.work)
+            request.attempt.instance.load.on_returned(request.work)
             self._give_up(request)
             self._finish(request, Unknown('caller has gone'))
 
--- a/packages/burdockchute-entry/burdockchute_entry/straight/known_targets.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/known_targets.py
@@ -111,7 +111,9 @@
         if report.opens_in_ms is not None:
             target.opens_at = now + report.opens_in_ms / 1000
         slots = report.slots or target.upstream.slots
-        target.load.report(report.running, slots, self.entries, 0.0, (), now)
+        target.load.apply_report(
+            report.running, slots, self.entries, 0.0, (), now
+        )
 
     # What is asked.
 
@@ -275,7 +277,7 @@
         found = survey.open_to(self._rule(pending, now))
         cost = self.cost(pending.spec.service)
         if cost is None:
-            load = placement.choose(
+            load = placement.choose_instance(
                 [target.load for target, _view in found.values()],
                 pending.work,
                 unit_s,
--- a/packages/burdockchute-entry/burdockchute_entry/straight/scheduler.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/scheduler.py
@@ -263,7 +263,7 @@
         slot.target.remove_unstarted(
             pending.ctx.request_id, False, self._now()
         )
-        slot.target.load.returned(pending.work)
+        slot.target.load.on_returned(pending.work)
         self._fill(pending.spec.service)
 
     def mark_answered(
@@ -274,7 +274,7 @@
         now = self._now()
         target = slot.target
         target.remove_unstarted(pending.ctx.request_id, True, now)
-        target.load.answered(pending.work, service_s, lane.unit_s, now)
+        target.load.on_answered(pending.work, service_s, lane.unit_s, now)
         target.record_success(now)
         lane.answered(service_s / pending.work.cost)
         self._fill(pending.spec.service)
@@ -287,7 +287,7 @@
         now = self._now()
         target = slot.target
         target.remove_unstarted(pending.ctx.request_id, False, now)
-        target.load.failed(pending.work, service_s, lane.unit_s, now)
+        target.load.on_failed(pending.work, service_s, lane.unit_s, now)
         self._fill(pending.spec.service)
 
     def assign_free_slots(self) -> None:
@@ -461,7 +461,7 @@
     def _taken(
         self, pending: PendingRequest, target: Target, now: float
     ) -> Slot:
-        target.load.sent(pending.work, now)
+        target.load.on_sent(pending.work, now)
         target.share -= 1
         model = pending.spec.model
         if model:
--- a/packages/burdockchute-entry/burdockchute_entry/straight/survey.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/survey.py
@@ -38,7 +38,7 @@
         self._open = {
             target.id: (target, look(target))
             for target in targets
-            if target.load.room(now) > 0
+            if target.load.headroom(now) > 0
         }
         # Prompt and time left of what found no place.
         self._in_vain: list[tuple[int, float | None]] = []
@@ -69,7 +69,7 @@
 
     def taken(self, target: Target) -> None:
         """Note that a target was given one more request."""
-        if target.load.room(self._now) > 0:
+        if target.load.headroom(self._now) > 0:
             self._open[target.id] = (target, self._look(target))
         else:
             self._open.pop(target.id, None)
--- a/packages/burdockchute-entry/burdockchute_entry/straight/targets.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/targets.py
@@ -68,7 +68,7 @@
         # What was sent before stands in the link to it.
         self.is_held = False
         self._idle: list[tuple[Connection, float]] = []
-        self.load.report(0, upstream.slots, 1, 0.0, (), now)
+        self.load.apply_report(0, upstream.slots, 1, 0.0, (), now)
 
     @property
     def id(self) -> str:
@@ -104,7 +104,7 @@
         """Give what is known of it as an engine that entries share."""
         sent_at = [item.sent_at for item in self.unstarted.values()]
         free = health.headroom(
-            self.load.room(now), sent_at, self.is_behind, now
+            self.load.headroom(now), sent_at, self.is_behind, now
         )
         return EngineView(
             name=self.id,
--- a/packages/burdockchute-entry/tests/test_survey.py
+++ b/packages/burdockchute-entry/tests/test_survey.py
@@ -154,7 +154,7 @@
         }
         scheduler.update(Beliefs(upstreams=UpstreamList(known, {})))
         for target in scheduler.targets():
-            target.load.report(12, 16, 1, 0.0, (), 0.0)
+            target.load.apply_report(12, 16, 1, 0.0, (), 0.0)
             target.load.window = 16
         with cost_is(COST):
             slot = scheduler.wait_for_slot(pending(1, prompt=3800), 6.0)
--- a/packages/burdockchute/burdockchute/decisions/placement.py
+++ b/packages/burdockchute/burdockchute/decisions/placement.py
@@ -88,7 +88,7 @@
     prefixes: tuple[str, ...]
 
 
-def short_prefixes(prefixes: Iterable[str]) -> tuple[str, ...]:
+def truncate_prefixes(prefixes: Iterable[str]) -> tuple[str, ...]:
     """Give the prefixes as instances report them."""
     return tuple(prefix[:PREFIX_CHARS] for prefix in prefixes)
 
@@ -122,7 +122,7 @@
         )
         self.reserved_for = ''
 
-    def report(
+    def apply_report(
         self,
         in_flight: int,
         slots: int,
@@ -139,26 +139,26 @@
         if not self.started:
             self.window = max(LEAST_START, self.slots * START_SHARE)
             self.started = True
-        self.note_in_flight(in_flight, now)
+        self.update_in_flight(in_flight, now)
         self.prefill_tokens_per_s = prefill_tokens_per_s
         self.entries = entries
-        for prefix in short_prefixes(prefixes):
+        for prefix in truncate_prefixes(prefixes):
             self._reported[prefix] = None
             self._reported.move_to_end(prefix)
         while len(self._reported) > MAX_REPORTED:
             self._reported.popitem(last=False)
 
-    def evicted(self, prefixes: Iterable[str]) -> None:
+    def forget_prefixes(self, prefixes: Iterable[str]) -> None:
         """Take in which prefixes the instance's cache has lost."""
         for prefix in prefixes:
             self._reported.pop(prefix, None)
 
-    def note_in_flight(self, in_flight: int, now: float) -> None:
+    def update_in_flight(self, in_flight: int, now: float) -> None:
         """Take in how many requests are there from all entries."""
         self.others = max(0, in_flight - self.ours)
         self.reported_at = now
 
-    def sent(self, work: Work, now: float) -> None:
+    def on_sent(self, work: Work, now: float) -> None:
         """Count a request that was sent there."""
         self.ours += 1
         self.long_ours += work.is_long
@@ -168,27 +168,27 @@
         while len(self._sent) > MAX_WARM:
             self._sent.popitem(last=False)
 
-    def returned(self, work: Work) -> None:
+    def on_returned(self, work: Work) -> None:
         """Count a request that came back without having been run."""
         self.ours -= 1
         self.long_ours -= work.is_long
 
-    def answered(
+    def on_answered(
         self, work: Work, service_s: float, mean_unit_s: float, now: float
     ) -> None:
         """Count an answer that took so long from sending to its end."""
-        self.returned(work)
+        self.on_returned(work)
         self.window = min(self.window + 1, self._most())
         self._learn(service_s / work.cost, mean_unit_s, now)
 
-    def failed(
+    def on_failed(
         self, work: Work, service_s: float, mean_unit_s: float, now: float
     ) -> None:
         """Count a request that was lost or late there after so long."""
-        self.returned(work)
+        self.on_returned(work)
         self.window = max(LEAST_WINDOW, self.window / 2)
         unit_s = service_s / work.cost
-        if unit_s > self.unit_now(mean_unit_s, now):
+        if unit_s > self.current_unit_s(mean_unit_s, now):
             # It takes at least this long; an instance whose answers all come
             # after the deadline would never be measured otherwise.
             self._learn(unit_s, mean_unit_s, now)
@@ -198,7 +198,7 @@
         fresh = now - self.reported_at <= REPORT_VALID_S
         return self.ours + (self.others if fresh else 0)
 
-    def room(self, now: float) -> int:
+    def headroom(self, now: float) -> int:
         """Give how many more requests may be sent there now."""
         if self.reserved_for:
             return 0
@@ -210,7 +210,7 @@
         by_slots = max(even, self._most() - self.in_flight(now))
         return max(0, int(min(by_slots, self.window - self.ours)))
 
-    def may_take_long(self, long_share: float) -> bool:
+    def accepts_long(self, long_share: float) -> bool:
         """Tell whether long work has not yet taken its part here.
 
         What the other entries have here may be long as well, so the part is
@@ -220,7 +220,7 @@
         ours = self.slots - self.others
         return self.long_ours < max(1, int(ours * long_share))
 
-    def unit_now(self, mean_unit_s: float, now: float) -> float:
+    def current_unit_s(self, mean_unit_s: float, now: float) -> float:
         """Give the time per unit of work, drawn to the mean with age."""
         if not self.unit_s:
             return mean_unit_s
@@ -237,7 +237,7 @@
         return 0
 
     def _learn(self, unit_s: float, mean_unit_s: float, now: float) -> None:
-        known = self.unit_now(mean_unit_s, now)
+        known = self.current_unit_s(mean_unit_s, now)
         if known:
             unit_s = (1 - SMOOTHING) * known + SMOOTHING * unit_s
         self.unit_s = unit_s
@@ -247,7 +247,7 @@
         return self.slots + int(self.slots * QUEUE_SHARE)
 
 
-def choose(
+def choose_instance(
     loads: Sequence[InstanceLoad],
     work: Work,
     mean_unit_s: float,
@@ -255,7 +255,7 @@
     rng: random.Random,
 ) -> InstanceLoad | None:
     """Give the instance for a request, None where none has room."""
-    free = [load for load in loads if load.room(now) > 0]
+    free = [load for load in loads if load.headroom(now) > 0]
     if not free:
         return None
     compared = rng.sample(free, 2) if len(free) > 2 else list(free)
@@ -283,7 +283,7 @@
     now: float,
 ) -> float:
     """Estimate the seconds from sending a request to its end."""
-    service_s = load.unit_now(mean_unit_s, now) * work.cost
+    service_s = load.current_unit_s(mean_unit_s, now) * work.cost
     filled = load.in_flight(now) / load.slots
     waits = max(0.0, load.in_flight(now) + 1 - load.slots) / load.slots
     prefill_s = 0.0
@@ -296,7 +296,7 @@
     return service_s * (1 + FILL_COST * filled + waits) + prefill_s
 
 
-def long_allowed(
+def accepting_long(
     loads: Iterable[InstanceLoad], long_share: float
 ) -> tuple[InstanceLoad, ...]:
     """Give the instances that may take long work now.
@@ -304,4 +304,4 @@
     Long work holds a slot for as long as many short requests would; at most
     `long_share` of an instance's slots go to it, but always one.
     """
-    return tuple(load for load in loads if load.may_take_long(long_share))
+    return tuple(load for load in loads if load.accepts_long(long_share))
--- a/packages/burdockchute/tests/decisions/test_placement.py
+++ b/packages/burdockchute/tests/decisions/test_placement.py
@@ -16,14 +16,16 @@
 
 def load_of(name, in_flight=0, slots=8, prefixes=()):
     load = InstanceLoad(name, 0.0)
-    load.report(in_flight, slots, 99, 100.0, prefixes, 0.0)
+    load.apply_report(in_flight, slots, 99, 100.0, prefixes, 0.0)
     load.window = 100.0
     return load
 
 
 class PlacementTest(unittest.TestCase):
     def choose(self, loads, work=WORK, now=0.0):
-        chosen = placement.choose(loads, work, 0.1, now, random.Random(1))
+        chosen = placement.choose_instance(
+            loads, work, 0.1, now, random.Random(1)
+        )
         return chosen.name if chosen else None
 
     def test_late_report_counts_what_was_sent_since(self):
@@ -32,7 +34,9 @@
         loads = [load_of('a'), load_of('b')]
         for _ in range(8):
             name = self.choose(loads)
-            next(load for load in loads if load.name == name).sent(WORK, 0.0)
+            next(load for load in loads if load.name == name).on_sent(
+                WORK, 0.0
+            )
         self.assertEqual([4, 4], [load.ours for load in loads])
 
     def test_old_report_of_others_load_is_forgotten(self):
@@ -43,13 +47,13 @@
     def test_home_then_warm_until_the_queue_costs_more(self):
         home, warm, *cold = hosting.ranked('p1', 'abcd')
         loads = {name: load_of(name) for name in 'abcd'}
-        loads[warm].report(0, 8, 99, 100.0, ('p1', 'p2'), 0.0)
+        loads[warm].apply_report(0, 8, 99, 100.0, ('p1', 'p2'), 0.0)
         self.assertEqual(home, self.choose(list(loads.values()), WARM))
         del loads[home]
         loads[cold[0]].window = 0.0
         self.assertEqual(warm, self.choose(list(loads.values()), WARM))
         loads[cold[0]].window = 100.0
-        loads[warm].report(9, 8, 99, 100.0, ('p1', 'p2'), 0.0)
+        loads[warm].apply_report(9, 8, 99, 100.0, ('p1', 'p2'), 0.0)
         self.assertIn(self.choose(list(loads.values()), WARM), cold)
 
     def test_entries_send_prompts_that_start_alike_to_one_place(self):
@@ -59,54 +63,54 @@
         for seed in range(10):
             loads = [load_of(name) for name in 'abcdef']
             rng = random.Random(seed)
-            load = placement.choose(loads, WARM, 0.1, 0.0, rng)
+            load = placement.choose_instance(loads, WARM, 0.1, 0.0, rng)
             chosen.add(load.name)
         self.assertEqual(1, len(chosen))
 
     def test_two_entries_leave_slots_for_short_work(self):
         load = load_of('a', in_flight=4, slots=8)
-        load.sent(WORK._replace(is_long=True), 0.0)
-        load.sent(WORK._replace(is_long=True), 0.0)
-        self.assertFalse(load.may_take_long(0.5))
+        load.on_sent(WORK._replace(is_long=True), 0.0)
+        load.on_sent(WORK._replace(is_long=True), 0.0)
+        self.assertFalse(load.accepts_long(0.5))
 
     def test_prefix_counts_until_the_report_would_show_it(self):
         # Caches forget. What was once sent and is not reported any more
         # must not draw requests to a place that computes them anew.
         load = load_of('a')
-        load.sent(WARM, 0.0)
+        load.on_sent(WARM, 0.0)
         self.assertEqual(128, load.warm_tokens(WARM, 1.0))
         self.assertEqual(0, load.warm_tokens(WARM, placement.WARM_S))
-        load.report(0, 8, 1, 100.0, ('p1',), 5.0)
+        load.apply_report(0, 8, 1, 100.0, ('p1',), 5.0)
         self.assertEqual(64, load.warm_tokens(WARM, 5.0))
 
     def test_entry_gets_its_even_part_of_a_full_instance(self):
         # The other entry was first and has every slot.
         load = load_of('a')
-        load.report(8, 8, 2, 100.0, (), 0.0)
-        self.assertEqual(4, load.room(0.0))
+        load.apply_report(8, 8, 2, 100.0, (), 0.0)
+        self.assertEqual(4, load.headroom(0.0))
         for _ in range(4):
-            load.sent(WORK, 0.0)
-        self.assertEqual(0, load.room(0.0))
+            load.on_sent(WORK, 0.0)
+        self.assertEqual(0, load.headroom(0.0))
 
     def test_failures_take_load_off_and_leave_a_probe(self):
         load = load_of('a')
         load.window = 8.0
         for _ in range(5):
-            load.sent(WORK, 0.0)
-            load.failed(WORK, 0.1, 0.1, 0.0)
-        self.assertEqual(1, load.room(0.0))
+            load.on_sent(WORK, 0.0)
+            load.on_failed(WORK, 0.1, 0.1, 0.0)
+        self.assertEqual(1, load.headroom(0.0))
 
     def test_window_opens_with_answers(self):
         load = InstanceLoad('a', 0.0)
-        load.report(0, 8, 1, 0.0, (), 0.0)
-        self.assertEqual(4, load.room(0.0))
+        load.apply_report(0, 8, 1, 0.0, (), 0.0)
+        self.assertEqual(4, load.headroom(0.0))
         for _ in range(10):
-            load.sent(WORK, 0.0)
-            load.answered(WORK, 1.0, 0.1, 0.0)
-        self.assertEqual(8, load.room(0.0))
+            load.on_sent(WORK, 0.0)
+            load.on_answered(WORK, 1.0, 0.1, 0.0)
+        self.assertEqual(8, load.headroom(0.0))
 
     def test_long_work_always_has_one_slot_and_never_all(self):
         load = load_of('a', slots=1)
-        self.assertTrue(load.may_take_long(0.1))
-        load.sent(WORK._replace(is_long=True), 0.0)
-        self.assertFalse(load.may_take_long(0.5))
+        self.assertTrue(load.accepts_long(0.1))
+        load.on_sent(WORK._replace(is_long=True), 0.0)
+        self.assertFalse(load.accepts_long(0.5))
