--- a/packages/burdockchute-entry/burdockchute_entry/intake.py
+++ b/packages/burdockchute-entry/burdockchute_entry/intake.py
@@ -8,7 +8,7 @@
 from burdockchute.decisions import admission
 from burdockchute.decisions import limits
 from burdockchute.decisions.admission import Bucket
-from burdockchute.decisions.admission import Rate
+from burdockchute.decisions.admission import RateLimit
 from burdockchute.decisions.limits import Demand
 from burdockchute.decisions.limits import Share
 from burdockchute.decisions.placement import InstanceLoad
@@ -87,12 +87,12 @@
         return wait_s
 
 
-def rate_of(customer: str, table: Table) -> Rate | None:
+def rate_of(customer: str, table: Table) -> RateLimit | None:
     """Give the limit in a customer's row, for all entries together."""
     row = tables.row_of(table, CustomerRow, customer)
     if row is None:
         return None
-    return Rate(row.requests_per_s, row.tokens_per_s, row.burst_s)
+    return RateLimit(row.requests_per_s, row.tokens_per_s, row.burst_s)
 
 
 def outcome_of(verdict: claims.Verdict) -> Outcome:
--- a/packages/burdockchute-entry/burdockchute_entry/limits_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/limits_task.py
@@ -102,7 +102,7 @@
         fresh = {
             entry: told
             for entry, told in self._told[customer].items()
-            if now - told.at <= limits.FRESH_S
+            if now - told.at <= limits.SHARE_VALID_S
         }
         row = tables.row_of(self._table, CustomerRow, customer)
         if not fresh or row is None:
@@ -164,7 +164,7 @@
         kept = {
             customer: share
             for customer, share in self._shares.items()
-            if now - share.at <= limits.FRESH_S + limits.FADE_S
+            if now - share.at <= limits.SHARE_VALID_S + limits.SHARE_FADE_S
         }
         if len(kept) != len(self._shares):
             self._shares = kept
--- a/packages/burdockchute/burdockchute/decisions/admission.py
+++ b/packages/burdockchute/burdockchute/decisions/admission.py
@@ -37,7 +37,7 @@
 MAX_RETRY_AFTER_S = 60.0
 
 
-class Rate(NamedTuple):
+class RateLimit(NamedTuple):
     """A limit per second and how many seconds of it may come at once."""
 
     requests_per_s: float
@@ -53,21 +53,21 @@
     at: float
 
 
-def full_bucket(rate: Rate, now: float) -> Bucket:
+def full_bucket(rate: RateLimit, now: float) -> Bucket:
     """Give the bucket of a customer that has sent nothing lately."""
     requests, tokens = _capacity(rate)
     return Bucket(requests, tokens, now)
 
 
 def take(
-    bucket: Bucket, rate: Rate, tokens: int, now: float
+    bucket: Bucket, rate: RateLimit, tokens: int, now: float
 ) -> tuple[Bucket, float]:
     """Take one request of so many tokens out of a bucket.
 
     Gives the bucket after it and 0.0, or the bucket unchanged but for time
     and the seconds until the request would pass.
 
-    >>> rate = Rate(requests_per_s=1, tokens_per_s=100, burst_s=2)
+    >>> rate = RateLimit(requests_per_s=1, tokens_per_s=100, burst_s=2)
     >>> bucket, wait_s = take(full_bucket(rate, 0.0), rate, 50, 0.0)
     >>> (bucket.requests, bucket.tokens, wait_s)
     (1.0, 150.0, 0.0)
@@ -109,7 +109,7 @@
     return min(max(seconds, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
 
 
-def _capacity(rate: Rate) -> tuple[float, float]:
+def _capacity(rate: RateLimit) -> tuple[float, float]:
     # At least one whole request, or a customer with a small limit could
     # never send any.
     return (
@@ -118,7 +118,7 @@
     )
 
 
-def _fill(bucket: Bucket, rate: Rate, now: float) -> Bucket:
+def _fill(bucket: Bucket, rate: RateLimit, now: float) -> Bucket:
     elapsed = max(0.0, now - bucket.at)
     requests, tokens = _capacity(rate)
     return Bucket(
--- a/packages/burdockchute/burdockchute/decisions/limits.py
+++ b/packages/burdockchute/burdockchute/decisions/limits.py
@@ -29,10 +29,10 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from burdockchute.decisions.admission import Rate
+from burdockchute.decisions.admission import RateLimit
 
-FRESH_S = 3.0
-FADE_S = 3.0
+SHARE_VALID_S = 3.0
+SHARE_FADE_S = 3.0
 
 
 class Demand(NamedTuple):
@@ -69,12 +69,12 @@
 
 
 def rate_at(
-    limit: Rate, share: Share | None, entries: int, now: float
-) -> Rate:
+    limit: RateLimit, share: Share | None, entries: int, now: float
+) -> RateLimit:
     """Give what an entry may let in now.
 
-    >>> rate_at(Rate(10.0, 1000.0, 2.0), None, 2, 0.0)
-    Rate(requests_per_s=5.0, tokens_per_s=500.0, burst_s=2.0)
+    >>> rate_at(RateLimit(10.0, 1000.0, 2.0), None, 2, 0.0)
+    RateLimit(requests_per_s=5.0, tokens_per_s=500.0, burst_s=2.0)
     """
     even = 1.0 / max(1, entries)
     if share is None:
@@ -83,7 +83,7 @@
             tokens_per_s=limit.tokens_per_s * even,
         )
     age = now - share.at
-    keep = min(1.0, max(0.0, 1.0 - (age - FRESH_S) / FADE_S))
+    keep = min(1.0, max(0.0, 1.0 - (age - SHARE_VALID_S) / SHARE_FADE_S))
     return limit._replace(
         requests_per_s=_between(
             limit.requests_per_s * even, share.requests_per_s, keep
--- a/packages/burdockchute/tests/decisions/test_admission.py
+++ b/packages/burdockchute/tests/decisions/test_admission.py
@@ -10,7 +10,7 @@
 
 from burdockchute.decisions import admission
 from burdockchute.decisions import retries
-from burdockchute.decisions.admission import Rate
+from burdockchute.decisions.admission import RateLimit
 
 ARRIVALS = st.lists(
     st.tuples(st.floats(0, 3), st.integers(0, 400)), max_size=60
@@ -21,7 +21,7 @@
     @settings(derandomize=True, deadline=None, max_examples=100)
     @given(arrivals=ARRIVALS)
     def test_never_more_than_the_limit(self, arrivals):
-        rate = Rate(requests_per_s=2, tokens_per_s=100, burst_s=3)
+        rate = RateLimit(requests_per_s=2, tokens_per_s=100, burst_s=3)
         now, taken, tokens_taken = 0.0, 0, 0
         bucket = admission.full_bucket(rate, now)
         for gap, tokens in arrivals:
@@ -35,7 +35,7 @@
         self.assertLessEqual(tokens_taken, 100 * (now + 3) + 400 + 1e-6)
 
     def test_told_wait_is_enough(self):
-        rate = Rate(requests_per_s=2, tokens_per_s=100, burst_s=1)
+        rate = RateLimit(requests_per_s=2, tokens_per_s=100, burst_s=1)
         bucket = admission.full_bucket(rate, 0.0)
         bucket, _wait_s = admission.take(bucket, rate, 100, 0.0)
         bucket, wait_s = admission.take(bucket, rate, 50, 0.0)
@@ -46,7 +46,7 @@
     def test_request_larger_than_the_bucket_passes_a_full_one(self):
         # A book of pages may cost more than the customer's burst. It must
         # not be refused for ever.
-        rate = Rate(requests_per_s=2, tokens_per_s=100, burst_s=1)
+        rate = RateLimit(requests_per_s=2, tokens_per_s=100, burst_s=1)
         bucket = admission.full_bucket(rate, 0.0)
         bucket, wait_s = admission.take(bucket, rate, 1000, 0.0)
         self.assertEqual(0.0, wait_s)
--- a/packages/burdockchute/tests/decisions/test_limits.py
+++ b/packages/burdockchute/tests/decisions/test_limits.py
@@ -9,10 +9,10 @@
 from hypothesis import strategies as st
 
 from burdockchute.decisions import limits
-from burdockchute.decisions.admission import Rate
+from burdockchute.decisions.admission import RateLimit
 from burdockchute.decisions.limits import Share
 
-LIMIT = Rate(10.0, 1000.0, 2.0)
+LIMIT = RateLimit(10.0, 1000.0, 2.0)
 DEMANDS = st.dictionaries(
     st.sampled_from('abcdef'), st.floats(0, 1e6), min_size=1
 )
