--- a/packages/burdockchute-entry/burdockchute_entry/dispatcher.py
+++ b/packages/burdockchute-entry/burdockchute_entry/dispatcher.py
@@ -59,7 +59,7 @@
         self.entries: list[str] = []
         self._table: Table = tables.EMPTY
         self._pools: dict[str, Pool] = {}
-        self._terms = retries.DEFAULT_TERMS
+        self._policy = retries.DEFAULT_POLICY
         self._budget = retries.full_budget(now())
 
     def table_changed(self, table: Table) -> None:
@@ -159,7 +159,7 @@
         if request.attempts >= retries.MAX_ATTEMPTS:
             return False
         self._budget, allowed = retries.spend(
-            self._budget, self._now(), self._terms
+            self._budget, self._now(), self._policy
         )
         return allowed
 
@@ -213,7 +213,7 @@
             request.avoid(instance)
             return False
         if not request.attempts:
-            self._budget = retries.earn(self._budget, now, self._terms)
+            self._budget = retries.earn(self._budget, now, self._policy)
         request.attempts += 1
         request.pinned = pinned
         request.attempt = Attempt(attempt_id, instance, pinned, 0, now)
@@ -244,9 +244,9 @@
 
     def _grow_budget(self, slots: float) -> None:
         # All that one instance runs may be lost in one crash.
-        more = slots - self._terms.burst
+        more = slots - self._policy.burst
         if more > 0:
-            self._terms = self._terms._replace(burst=slots)
+            self._policy = self._policy._replace(burst=slots)
             self._budget = self._budget._replace(
                 balance=self._budget.balance + more
             )
--- a/packages/burdockchute-entry/burdockchute_entry/straight/retry_budgets.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/retry_budgets.py
@@ -20,19 +20,19 @@
 
     def record_first_attempt(self, service: str, now: float) -> None:
         """Count a request that is sent for the first time."""
-        terms = self._terms()
-        budget = self._budget(service, now, terms)
-        self._budgets[service] = retries.earn(budget, now, terms)
+        policy = self._policy()
+        budget = self._budget(service, now, policy)
+        self._budgets[service] = retries.earn(budget, now, policy)
 
     def take(self, service: str, now: float, resuming: bool = False) -> bool:
         """Take one retry out of a service's budget, if it has one.
 
         `resuming` is for the rest of a stream, for which a part is kept.
         """
-        terms = self._terms()
-        budget = self._budget(service, now, terms)
+        policy = self._policy()
+        budget = self._budget(service, now, policy)
         self._budgets[service], allowed = retries.spend(
-            budget, now, terms, _kept(terms, resuming)
+            budget, now, policy, _kept(policy, resuming)
         )
         return allowed
 
@@ -40,17 +40,19 @@
         self, service: str, now: float, resuming: bool = False
     ) -> float:
         """Give when time alone brings a retry, in seconds from now."""
-        terms = self._terms()
-        budget = self._budget(service, now, terms)
-        return retries.next_in_s(budget, now, terms, _kept(terms, resuming))
+        policy = self._policy()
+        budget = self._budget(service, now, policy)
+        return retries.next_retry_in_s(
+            budget, now, policy, _kept(policy, resuming)
+        )
 
     def balance(self, service: str, now: float) -> float:
         """Give the balance of a service's budget."""
-        return self._budget(service, now, self._terms()).balance
+        return self._budget(service, now, self._policy()).balance
 
-    def _terms(self) -> retries.Terms:
+    def _policy(self) -> retries.BudgetPolicy:
         bounds = self._bounds()
-        return retries.shared_terms(
+        return retries.shared_policy(
             bounds.retry_ratio,
             bounds.retry_extra,
             bounds.retry_window_s,
@@ -58,10 +60,10 @@
         )
 
     def _budget(
-        self, service: str, now: float, terms: retries.Terms
+        self, service: str, now: float, policy: retries.BudgetPolicy
     ) -> retries.Budget:
-        return self._budgets.get(service) or retries.full_budget(now, terms)
+        return self._budgets.get(service) or retries.full_budget(now, policy)
 
 
-def _kept(terms: retries.Terms, resuming: bool) -> float:
-    return 0.0 if resuming else retries.kept_for_begun(terms)
+def _kept(policy: retries.BudgetPolicy, resuming: bool) -> float:
+    return 0.0 if resuming else retries.reserved_for_started(policy)
--- a/packages/burdockchute/burdockchute/decisions/retries.py
+++ b/packages/burdockchute/burdockchute/decisions/retries.py
@@ -26,7 +26,7 @@
 
 EARNED = 0.05
 MIN_BURST = 4.0
-TRICKLE_S = 10.0
+REFILL_INTERVAL_S = 10.0
 
 KEPT = 1.0
 
@@ -38,36 +38,36 @@
 MAX_REJECTIONS = 3
 
 
-class Terms(NamedTuple):
+class BudgetPolicy(NamedTuple):
     """How retries are earned: by first attempts, and by time alone."""
 
     earned: float = EARNED
     burst: float = MIN_BURST
-    trickle_s: float = TRICKLE_S
+    trickle_s: float = REFILL_INTERVAL_S
 
 
-DEFAULT_TERMS = Terms()
+DEFAULT_POLICY = BudgetPolicy()
 
 # Part of what operators allow that is used: what an entry counts as its
 # share is a moment old when others come or go.
 USED_SHARE = 0.6
 
 
-def shared_terms(
+def shared_policy(
     ratio: float, extra: float, window_s: float, entries: int
-) -> Terms:
+) -> BudgetPolicy:
     """Give the terms of one of so many entries that share an allowance.
 
     In each window all may make `extra` retries and `ratio` of the requests.
     A burst and what trickles in during the window have each half of the
     entry's share of `extra`, so that no window sees more than all of it.
 
-    >>> shared_terms(0.2, 100.0, 10.0, 5)
-    Terms(earned=0.12, burst=6.0, trickle_s=1.6666666666666667)
+    >>> shared_policy(0.2, 100.0, 10.0, 5)
+    BudgetPolicy(earned=0.12, burst=6.0, trickle_s=1.6666666666666667)
     """
     share = USED_SHARE * extra / max(1, entries)
     burst = max(1.0, share / 2)
-    return Terms(USED_SHARE * ratio, burst, window_s / burst)
+    return BudgetPolicy(USED_SHARE * ratio, burst, window_s / burst)
 
 
 class Budget(NamedTuple):
@@ -77,21 +77,23 @@
     at: float
 
 
-def full_budget(now: float, terms: Terms = DEFAULT_TERMS) -> Budget:
+def full_budget(now: float, policy: BudgetPolicy = DEFAULT_POLICY) -> Budget:
     """Give the budget of an entry that has just started."""
-    return Budget(terms.burst, now)
+    return Budget(policy.burst, now)
 
 
-def earn(budget: Budget, now: float, terms: Terms = DEFAULT_TERMS) -> Budget:
+def earn(
+    budget: Budget, now: float, policy: BudgetPolicy = DEFAULT_POLICY
+) -> Budget:
     """Count a first attempt."""
-    filled = _fill(budget, now, terms)
-    return Budget(min(terms.burst, filled.balance + terms.earned), now)
+    filled = _fill(budget, now, policy)
+    return Budget(min(policy.burst, filled.balance + policy.earned), now)
 
 
 def spend(
     budget: Budget,
     now: float,
-    terms: Terms = DEFAULT_TERMS,
+    policy: BudgetPolicy = DEFAULT_POLICY,
     kept: float = 0.0,
 ) -> tuple[Budget, bool]:
     """Take one retry out of the budget, if it has one beyond what is kept.
@@ -101,35 +103,35 @@
     >>> spend(Budget(1.5, 0.0), 0.0, kept=1.0)
     (Budget(balance=1.5, at=0.0), False)
     """
-    filled = _fill(budget, now, terms)
+    filled = _fill(budget, now, policy)
     if filled.balance < 1.0 + kept:
         return filled, False
     return Budget(filled.balance - 1.0, now), True
 
 
-def kept_for_begun(terms: Terms) -> float:
+def reserved_for_started(policy: BudgetPolicy) -> float:
     """Give the retries that are kept for streams that have begun.
 
     New requests have one as well.
 
-    >>> kept_for_begun(Terms(burst=6.0)), kept_for_begun(Terms(burst=1.5))
+    >>> reserved_for_started(BudgetPolicy(burst=6.0)), reserved_for_started(BudgetPolicy(burst=1.5))
     (1.0, 0.5)
     """
-    return min(KEPT, terms.burst - 1.0)
+    return min(KEPT, policy.burst - 1.0)
 
 
-def next_in_s(
-    budget: Budget, now: float, terms: Terms, kept: float = 0.0
+def next_retry_in_s(
+    budget: Budget, now: float, policy: BudgetPolicy, kept: float = 0.0
 ) -> float:
     """Give when time alone brings a retry beyond what is kept.
 
-    >>> next_in_s(Budget(0.5, 0.0), 0.0, Terms(trickle_s=2.0))
+    >>> next_retry_in_s(Budget(0.5, 0.0), 0.0, BudgetPolicy(trickle_s=2.0))
     1.0
     """
-    missing = 1.0 + kept - _fill(budget, now, terms).balance
-    return max(0.0, missing) * terms.trickle_s
+    missing = 1.0 + kept - _fill(budget, now, policy).balance
+    return max(0.0, missing) * policy.trickle_s
 
 
-def _fill(budget: Budget, now: float, terms: Terms) -> Budget:
-    earned = max(0.0, now - budget.at) / terms.trickle_s
-    return Budget(min(terms.burst, budget.balance + earned), now)
+def _fill(budget: Budget, now: float, policy: BudgetPolicy) -> Budget:
+    earned = max(0.0, now - budget.at) / policy.trickle_s
+    return Budget(min(policy.burst, budget.balance + earned), now)
--- a/packages/burdockchute/tests/decisions/test_admission.py
+++ b/packages/burdockchute/tests/decisions/test_admission.py
@@ -66,4 +66,6 @@
     def test_budget_comes_back_without_traffic(self):
         budget = retries.Budget(0.0, 0.0)
         self.assertFalse(retries.spend(budget, 1.0)[1])
-        self.assertTrue(retries.spend(budget, 2 * retries.TRICKLE_S)[1])
+        self.assertTrue(
+            retries.spend(budget, 2 * retries.REFILL_INTERVAL_S)[1]
+        )
