--- a/packages/burdockchute-agent/burdockchute_agent/bandwidth.py
+++ b/packages/burdockchute-agent/burdockchute_agent/bandwidth.py
@@ -55,12 +55,12 @@
     @property
     def send_rate(self) -> float:
         """Bytes per second that copies may send now."""
-        return copy_rates.cap(self._uplink, self._live.rate)
+        return copy_rates.max_copy_rate(self._uplink, self._live.rate)
 
     @property
     def receive_rate(self) -> float:
         """Bytes per second that copies may receive now."""
-        return copy_rates.cap(self._downlink, self._live.rate)
+        return copy_rates.max_copy_rate(self._downlink, self._live.rate)
 
     def pace(self, size: int, now: float) -> float:
         """Take bytes of the uplink, or give how long until they are there."""
--- a/packages/burdockchute-entry/burdockchute_entry/straight/callers.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/callers.py
@@ -187,7 +187,7 @@
             self._longest_s.get(route.name, 0.0), asked.time_left_s
         )
         self._longest_s[route.name] = longest_s
-        return returning_callers.spent_s(longest_s, asked.time_left_s)
+        return returning_callers.elapsed_s(longest_s, asked.time_left_s)
 
     def exchange(self, admitted: Admitted) -> Exchange:
         """Begin the exchange of an admitted request."""
--- a/packages/burdockchute-entry/burdockchute_entry/straight/scheduler.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/scheduler.py
@@ -321,7 +321,7 @@
             return late_s
         left_s = pending.ctx.deadline - now
         return overload.retry_delay_s(
-            max(late_s, returning_callers.least_s(left_s)),
+            max(late_s, returning_callers.min_return_delay_s(left_s)),
             lasted_s,
             left_s - self._known.answer_s(pending) - late_s,
         )
--- a/packages/burdockchute-entry/burdockchute_entry/straight/streams.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/streams.py
@@ -252,7 +252,7 @@
     def _rest_s(self, now: float) -> float:
         made = self.count * self._tokens_per_event
         likely = max(1, self._sender.ctx.max_tokens)
-        return stream_moves.rest_s(now - self.began_at, made / likely)
+        return stream_moves.remainder_s(now - self.began_at, made / likely)
 
     def _pin(self) -> None:
         pending = self._sender.pending
--- a/packages/burdockchute-testing/burdockchute_testing/emulator/site.py
+++ b/packages/burdockchute-testing/burdockchute_testing/emulator/site.py
@@ -209,7 +209,7 @@
             max_tokens=int(call.shape.answer_tokens),
         )
         work = Work(admission.cost_of(ctx), False, ctx.prompt_tokens, ())
-        spent_s = returning_callers.spent_s(DEADLINE_S, deadline - now)
+        spent_s = returning_callers.elapsed_s(DEADLINE_S, deadline - now)
         spec = RequestSpec(SERVICE, MODEL, call.shape.objective_s, spent_s)
         pending = PendingRequest(ctx, work, spec)
         plan = self.scheduler.plan(pending, deadline)
--- a/packages/burdockchute/burdockchute/decisions/copy_rates.py
+++ b/packages/burdockchute/burdockchute/decisions/copy_rates.py
@@ -43,11 +43,11 @@
     at: float
 
 
-def cap(link: float, live: float) -> float:
+def max_copy_rate(link: float, live: float) -> float:
     """Give the rate of all copies on a link, in bytes per second.
 
-    >>> cap(100.0, 0.0), cap(100.0, 30.0), cap(100.0, 500.0)
-    (90.0, 60.0, 10.0)
+    >>> [max_copy_rate(100.0, live) for live in (0.0, 30.0, 500.0)]
+    [90.0, 60.0, 10.0]
     """
     return max(CAP_SHARE * link - live, FLOOR_SHARE * link)
 
--- a/packages/burdockchute/burdockchute/decisions/engine_placement.py
+++ b/packages/burdockchute/burdockchute/decisions/engine_placement.py
@@ -13,9 +13,10 @@
 there by the last report, and how the engine works by its operators' figures.
 All entries see the same report at the same moment and would decide alike. So
 each uses only its part of an engine's free slots, drawn by chance
-(`random_share`), and compares only a few engines for each request (`sample_engines`). Of
-these the one with the least expected time is taken, and none whose expected
-time would break the objective; the request then waits for a better moment.
+(`random_share`), and compares only a few engines for each request
+(`sample_engines`). Of these the one with the least expected time is taken,
+and none whose expected time would break the objective; the request then
+waits for a better moment.
 
 An engine that is about to load a version finishes what it runs and takes
 nothing new meanwhile. With one long answer left it would work for seconds on
@@ -87,12 +88,13 @@
     """What an entry knows of one engine.
 
     `ours` and `others` are requests there, `unread_tokens` those of our
-    prompts whose answers have not begun. `headroom` is how many more the window
-    and the slots allow, `share` how many of these new requests of this entry
-    may take, None for all. `unreported` are requests that the other entries have
-    probably sent since the last report. `slowness` is 1 for an engine of the
-    usual speed. `closes_in_s` is when it takes nothing new any more, None
-    for no such time. `is_remote` tells that it stands in another region.
+    prompts whose answers have not begun. `headroom` is how many more the
+    window and the slots allow, `share` how many of these new requests of
+    this entry may take, None for all. `unreported` are requests that the
+    other entries have probably sent since the last report. `slowness` is 1
+    for an engine of the usual speed. `closes_in_s` is when it takes nothing
+    new any more, None for no such time. `is_remote` tells that it stands in
+    another region.
     """
 
     name: str
@@ -172,8 +174,10 @@
     All entries see the same free slots and none sees what the others send,
     so each takes its part at random. `chance` is drawn evenly from 0 to 1.
 
-    >>> random_share(5, 36, 0.5), random_share(5, 36, 0.9), random_share(12, 5, 0.5)
-    (0, 1, 2)
+    >>> random_share(5, 36, 0.5), random_share(5, 36, 0.9)
+    (0, 1)
+    >>> random_share(12, 5, 0.5)
+    2
     """
     return int(max(0.0, free) / max(1, entries) + chance)
 
--- a/packages/burdockchute/burdockchute/decisions/retries.py
+++ b/packages/burdockchute/burdockchute/decisions/retries.py
@@ -114,8 +114,10 @@
 
     New requests have one as well.
 
-    >>> reserved_for_started(BudgetPolicy(burst=6.0)), reserved_for_started(BudgetPolicy(burst=1.5))
-    (1.0, 0.5)
+    >>> reserved_for_started(BudgetPolicy(burst=6.0))
+    1.0
+    >>> reserved_for_started(BudgetPolicy(burst=1.5))
+    0.5
     """
     return min(KEPT, policy.burst - 1.0)
 
--- a/packages/burdockchute/burdockchute/decisions/returning_callers.py
+++ b/packages/burdockchute/burdockchute/decisions/returning_callers.py
@@ -15,22 +15,22 @@
 MARGIN = 0.01
 
 
-def spent_s(longest_s: float, left_s: float) -> float:
+def elapsed_s(longest_s: float, left_s: float) -> float:
     """Estimate what a caller has spent on a request before, in seconds.
 
     `longest_s` is the most time that any caller of its route has named.
 
-    >>> spent_s(6.0, 5.0), spent_s(6.0, 4.5)
+    >>> elapsed_s(6.0, 5.0), elapsed_s(6.0, 4.5)
     (0.0, 1.5)
     """
     spent = longest_s - left_s
     return spent if spent > PATIENCE_SPREAD * longest_s else 0.0
 
 
-def least_s(left_s: float) -> float:
+def min_return_delay_s(left_s: float) -> float:
     """Give after which time a caller that returns is known as such.
 
-    >>> least_s(6.0)
+    >>> min_return_delay_s(6.0)
     1.26
     """
     return (PATIENCE_SPREAD + MARGIN) * left_s
--- a/packages/burdockchute/burdockchute/decisions/stream_moves.py
+++ b/packages/burdockchute/burdockchute/decisions/stream_moves.py
@@ -27,13 +27,13 @@
 GAP_SHARE = 0.8
 
 
-def rest_s(made_s: float, made_share: float) -> float:
+def remainder_s(made_s: float, made_share: float) -> float:
     """Estimate how long an answer still takes.
 
     `made_s` is the time since its first event and `made_share` how much of
     the expected length it has made.
 
-    >>> rest_s(1.0, 0.5), rest_s(2.0, 1.5)
+    >>> remainder_s(1.0, 0.5), remainder_s(2.0, 1.5)
     (1.0, 0.6)
     """
     if made_share <= 0:
--- a/packages/burdockchute/burdockchute/decisions/wait_limits.py
+++ b/packages/burdockchute/burdockchute/decisions/wait_limits.py
@@ -124,8 +124,10 @@
 def overdue_wait_s(objective_s: float, left_s: float) -> float:
     """Give how long it may wait in all once it can't be on time.
 
-    >>> overdue_wait_s(0.5, 6.0), overdue_wait_s(0.5, 1.0), overdue_wait_s(0.1, 6.0)
-    (0.75, 0.4, 0.25)
+    >>> overdue_wait_s(0.5, 6.0), overdue_wait_s(0.5, 1.0)
+    (0.75, 0.4)
+    >>> overdue_wait_s(0.1, 6.0)
+    0.25
     """
     wanted_s = LATE_OBJECTIVES * objective_s or DEFAULT_WAIT_S
     wanted_s = max(wanted_s, LEAST_LATE_S)
--- a/packages/burdockchute/tests/decisions/test_spreading.py
+++ b/packages/burdockchute/tests/decisions/test_spreading.py
@@ -271,9 +271,9 @@
             meter = copy_rates.measure(meter, 50.0, step * 0.1)
         self.assertAlmostEqual(500.0, meter.rate, delta=60.0)
         self.assertAlmostEqual(
-            400.0, copy_rates.cap(1000.0, meter.rate), delta=60
+            400.0, copy_rates.max_copy_rate(1000.0, meter.rate), delta=60
         )
         later = copy_rates.measure(meter, 0.0, 20.0)
         self.assertAlmostEqual(
-            900.0, copy_rates.cap(1000.0, later.rate), delta=1
+            900.0, copy_rates.max_copy_rate(1000.0, later.rate), delta=1
         )
--- a/packages/burdockchute/tests/decisions/test_stream_moves.py
+++ b/packages/burdockchute/tests/decisions/test_stream_moves.py
@@ -26,5 +26,5 @@
         self.assertFalse(stream_moves.should_move(0.5, 1.5, 0.4, 2))
 
     def test_an_answer_that_has_outgrown_its_estimate_goes_on(self):
-        self.assertAlmostEqual(0.6, stream_moves.rest_s(2.0, 1.2))
-        self.assertEqual(0.0, stream_moves.rest_s(2.0, 0.0))
+        self.assertAlmostEqual(0.6, stream_moves.remainder_s(2.0, 1.2))
+        self.assertEqual(0.0, stream_moves.remainder_s(2.0, 0.0))
