--- a/packages/burdockchute-agent/burdockchute_agent/__init__.py
+++ b/packages/burdockchute-agent/burdockchute_agent/__init__.py
@@ -1,3 +1,3 @@
-"""The agent process: runs beside one upstream instance."""
+"""The agent process, which runs beside one upstream."""
 
 from __future__ import annotations
--- a/packages/burdockchute-agent/burdockchute_agent/engine_state_tracker.py
+++ b/packages/burdockchute-agent/burdockchute_agent/engine_state_tracker.py
@@ -1,4 +1,4 @@
-"""What an agent knows of its engine, and how far it can rely on it."""
+"""Tracks an engine's reported state and whether it can be relied on."""
 
 from __future__ import annotations
 
@@ -7,85 +7,89 @@
 from burdockchute.upstreams.orders import EngineState
 from burdockchute.upstreams.orders import Loaded
 
-# A single lost reply is no reason to take an engine for dead.
-FAILED_READS = 3
+# Failed reads in a row after which the engine counts as gone. One lost reply
+# is not enough.
+MAX_FAILED_READS = 3
 
 
 class EngineStateTracker:
-    """The engine's last reported state, and since when it is the same.
+    """The engine's last reported state and the time of its last change.
 
-    An engine that checks fencing numbers and has seen ours obeys nobody
-    older, so what it reports stays. One that does not may still obey an agent
-    that was paused and replaced; there a report counts only once it has
-    stayed put for longer than an order can take.
+    An engine that checks fencing numbers and has received ours refuses
+    orders of older agents, so its reported state is stable. An engine that
+    doesn't check them may still obey an agent that was paused and replaced;
+    its report counts only once it has stayed the same for longer than an
+    order can take.
     """
 
     def __init__(self, now: float) -> None:
         self.state: EngineState | None = None
-        self.asked = now
-        self._failed = 0
+        self.requested_at = now
+        self._failed_reads = 0
         self._changed_at = now
         self._doubted_at: dict[Weights, float] = {}
 
-    def update(self, asked: float, state: EngineState | EngineError) -> None:
-        """Take a report that was asked for at `asked`."""
+    def update(
+        self, requested_at: float, state: EngineState | EngineError
+    ) -> None:
+        """Apply a report, or a failed read, requested at `requested_at`."""
         if isinstance(state, EngineError):
-            self._failed += 1
-            if self._failed >= FAILED_READS:
+            self._failed_reads += 1
+            if self._failed_reads >= MAX_FAILED_READS:
                 self.state = None
             return
-        self._failed = 0
+        self._failed_reads = 0
         if self.state is None or self.state.loaded != state.loaded:
-            self._changed_at = asked
+            self._changed_at = requested_at
         self.state = state
-        self.asked = asked
+        self.requested_at = requested_at
 
     def order_sent(self, now: float) -> None:
-        """Note that an order was given, whatever became of it."""
+        """Record that an order was sent, whatever its outcome."""
         self._changed_at = max(self._changed_at, now)
 
     def mark_doubtful(self, weights: Weights, now: float) -> None:
-        """Note that an answer named other weights than these."""
+        """Record an answer from other weights than the pinned `weights`."""
         self._doubted_at[weights] = now
 
     def loaded(self, kind: str, name: str) -> frozenset[str]:
-        """Give the digests that are loaded for a row."""
+        """Return the digests loaded for a row."""
         items = self.state.loaded if self.state else frozenset()
         return _digests(items, kind, name)
 
     def loading(self, kind: str, name: str) -> frozenset[str]:
-        """Give the digests that are now being loaded for a row."""
+        """Return the digests being loaded for a row."""
         items = self.state.loading if self.state else frozenset()
         return _digests(items, kind, name)
 
     def rows(self) -> set[tuple[str, str]]:
-        """Give kind and name of all that is loaded."""
+        """Return kind and name of each row with loaded weights."""
         items = self.state.loaded if self.state else frozenset()
         return {(item.kind, item.name) for item in items}
 
     def is_settled(
         self, weights: Weights, fence: int, checks: bool, settle_s: float
     ) -> bool:
-        """Tell whether the report about these weights can be relied on.
+        """Whether the report about these weights can be relied on.
 
-        `checks` is the table's word on whether this engine checks numbers;
-        the engine must say the same. `settle_s` is how long a report must
-        stay the same where that doesn't help.
+        `checks` is whether the table says that this engine checks fencing
+        numbers; the engine must report the same. Otherwise the report must
+        stay the same for `settle_s`.
         """
         if self.state is None:
             return False
-        since = self._changed_at
-        doubted = self._doubted_at.get(weights)
-        if doubted is not None:
-            since = max(since, doubted)
-        if self.asked - since > settle_s:
+        stable_since = self._changed_at
+        doubted_at = self._doubted_at.get(weights)
+        if doubted_at is not None:
+            stable_since = max(stable_since, doubted_at)
+        if self.requested_at - stable_since > settle_s:
             self._doubted_at.pop(weights, None)
             return True
         fenced = checks and self.state.checks_fencing
-        return fenced and self.state.fence == fence and doubted is None
+        return fenced and self.state.fence == fence and doubted_at is None
 
     def is_superseded(self, fence: int) -> bool:
-        """Tell whether the engine obeys a later agent than this one."""
+        """Whether the engine has accepted a later agent than this one."""
         return self.state is not None and self.state.fence > fence
 
 
--- a/packages/burdockchute-agent/burdockchute_agent/engine_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/engine_task.py
@@ -1,7 +1,7 @@
-"""The task that talks to this instance's engine.
+"""Polls this instance's engine and sends it orders.
 
-It reads the engine's state over and over and gives the orders that it is
-sent, one at a time, so that the owner never waits for the engine.
+Orders are sent one at a time, between reads of the engine's state, in a
+greenlet of its own, so that the owner never waits for the engine.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 from burdockchute_agent.events import EngineStateRead
 from burdockchute_agent.events import OrderEnded
 
-# How long an engine that lost its weights may go unnoticed; requests carry
-# their digest, so in between they are refused by the engine itself.
+# Bounds the time until the loss of an engine's weights is noticed. Until then
+# the engine itself refuses requests, as each carries its digest.
 POLL_S = 0.25
-# While an order is on its way the engine is asked often, as every replica
-# that waits for its turn to load waits for this one.
+# While an order is pending the engine is polled more often, as the replicas
+# that load after this one wait for it.
 BUSY_POLL_S = 0.05
 BUSY_S = 1.0
 
 
 class EngineTask:
-    """Owns the connections to one engine; orders go into `orders`."""
+    """Owns the connections to one engine; takes orders from `orders`."""
 
     def __init__(self, url: str, report: Callable[[object], None]) -> None:
         self.orders: queue.Queue[Order] = queue.Queue()
@@ -37,25 +37,25 @@
         self._busy_until = 0.0
 
     def run(self) -> None:
-        """Poll and give orders until killed."""
+        """Poll the engine and send orders until killed."""
         engine = Engine(self._url)
         try:
             while True:
-                self._give_next(engine)
-                asked = time.monotonic()
+                self._send_next_order(engine)
+                requested_at = time.monotonic()
                 state = engine.state()
-                seen = (
+                result = (
                     state.unwrap()
                     if isinstance(state, Success)
                     else state.failure()
                 )
-                if isinstance(seen, EngineState) and seen.loading:
-                    self._busy_until = asked + BUSY_S
-                self._report(EngineStateRead(asked, seen))
+                if isinstance(result, EngineState) and result.loading:
+                    self._busy_until = requested_at + BUSY_S
+                self._report(EngineStateRead(requested_at, result))
         finally:
             engine.close()
 
-    def _give_next(self, engine: Engine) -> None:
+    def _send_next_order(self, engine: Engine) -> None:
         is_busy = time.monotonic() < self._busy_until
         try:
             order = self.orders.get(timeout=BUSY_POLL_S if is_busy else POLL_S)
--- a/packages/burdockchute-agent/burdockchute_agent/events.py
+++ b/packages/burdockchute-agent/burdockchute_agent/events.py
@@ -13,36 +13,39 @@
 
 
 class Registered(NamedTuple):
-    """The log has given this agent its fencing number."""
+    """The log has assigned this agent its fencing number."""
 
     fence: int
 
 
 class EngineStateRead(NamedTuple):
-    """The engine's state was read, asked for at `asked` (monotonic)."""
+    """The engine's state, requested at `requested_at` (monotonic)."""
 
-    asked: float
+    requested_at: float
     state: EngineState | EngineError
 
 
 class OrderEnded(NamedTuple):
-    """An order was taken, refused or lost."""
+    """An order was accepted, refused or lost."""
 
     order: Order
     outcome: str | OrderRefused | EngineError
 
 
 class ManifestRead(NamedTuple):
-    """The store answered a read of a manifest."""
+    """The weight store answered a read of a manifest."""
 
     digest: str
     outcome: Manifest | OriginError
 
 
 class OriginRead(NamedTuple):
-    """The store answered a read of a chunk, asked for at `asked`."""
+    """The weight store answered a read of a chunk.
+
+    `requested_at` is the monotonic time at which the read was started.
+    """
 
     digest: str
     chunk: int
-    asked: float
+    requested_at: float
     outcome: bytes | OriginError
--- a/packages/burdockchute-agent/burdockchute_agent/main.py
+++ b/packages/burdockchute-agent/burdockchute_agent/main.py
@@ -16,7 +16,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run one command and give its exit status."""
+    """Run one command and return its exit status."""
     args = _parser().parse_args(argv)
     if args.command == 'status':
         return commands.print_status(args, os.environ)
--- a/packages/burdockchute-agent/burdockchute_agent/registration.py
+++ b/packages/burdockchute-agent/burdockchute_agent/registration.py
@@ -1,8 +1,8 @@
-"""Registration of an agent: its fencing number is an offset in the log.
+"""Registration of an agent; its fencing number is an offset in the log.
 
 Of two agents for one instance, the one that registered later has the higher
-number, whatever its clock says. An append whose reply was lost is simply
-made again: both records are this agent's, and the higher one counts.
+number, whatever its clock says. An append whose reply was lost is repeated:
+both records belong to this agent, and the higher offset counts.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 def register(
     log: LogClient, name: str, incarnation: str
 ) -> Result[int, LogError]:
-    """Append a registration and give its offset."""
+    """Append a registration and return its offset."""
     record = {
         'format': 1,
         'type': 'registration',
--- a/packages/burdockchute-agent/burdockchute_agent/settings.py
+++ b/packages/burdockchute-agent/burdockchute_agent/settings.py
@@ -13,7 +13,7 @@
 
 
 class Settings(NamedTuple):
-    """Checked settings; rates are bytes a second, times are seconds."""
+    """Validated settings; rates in bytes per second, times in seconds."""
 
     name: str
     zone: str
@@ -79,5 +79,5 @@
 
 
 def of_values(values: dict[str, Any]) -> Settings:
-    """Give the settings from parsed values."""
+    """Return the settings made of parsed values."""
     return Settings(**values)
--- a/packages/burdockchute-agent/burdockchute_agent/weights_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/weights_task.py
@@ -142,7 +142,7 @@
             self._copying.stop()
 
     def states(self) -> list[messages.WeightsState]:
-        """Give one state for each set of weights, as entries are told."""
+        """Return one state for each set of weights, as entries are told."""
         return [
             state
             for switch in self._switches.values()
@@ -152,7 +152,7 @@
         ]
 
     def services(self) -> list[str]:
-        """Give the names of the service rows that this instance runs."""
+        """Return the names of the service rows that this instance runs."""
         if self._is_engine:
             return []
         rows = hosting.hosted_services(self._table, self._members, self._own)
@@ -166,7 +166,7 @@
         return copy.manifest, copy.content()
 
     def held_bytes(self) -> int:
-        """Give the memory that all copies take."""
+        """Return the memory that all copies take."""
         return self._copying.held_bytes()
 
     def _keep_registering(self) -> None:
@@ -192,8 +192,8 @@
             case Registered(fence=fence):
                 self.fence = fence
                 event('registered', fence=fence)
-            case EngineStateRead(asked=asked, state=state):
-                self._tracker.update(asked, state)
+            case EngineStateRead(requested_at=requested_at, state=state):
+                self._tracker.update(requested_at, state)
             case OrderEnded():
                 self._order_ended(message, now)
             case _:
@@ -275,7 +275,7 @@
     def _step_row(self, switch: RowSwitch, now: float) -> None:
         loaded = self._tracker.loaded(switch.kind, switch.name)
         loading = self._tracker.loading(switch.kind, switch.name)
-        if switch.observe(loaded, loading, self._tracker.asked, now):
+        if switch.observe(loaded, loading, self._tracker.requested_at, now):
             warn('order_failed', row=f'{switch.kind}/{switch.name}')
         if self._superseded:
             return
@@ -393,5 +393,5 @@
 
 
 def manifest_header(manifest: Manifest) -> str:
-    """Give the value of the header Burdockchute-Manifest."""
+    """Return the value of the header Burdockchute-Manifest."""
     return base64.b64encode(document_of(manifest)).decode()
