--- a/packages/burdockchute-agent/burdockchute_agent/hosting_plan.py
+++ b/packages/burdockchute-agent/burdockchute_agent/hosting_plan.py
@@ -1,4 +1,4 @@
-"""What this instance should hold, from whom it copies and who loads first."""
+"""Plans what this instance holds, its peers and the order of loads."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Target(NamedTuple):
-    """The weights that a row names. `base` is set for adapters."""
+    """The weights named by a row; `base` is set for adapters only."""
 
     kind: str
     name: str
@@ -48,7 +48,7 @@
 def plan_hosting(
     table: Table, members: Sequence[Member], own: Member, policy: Policy
 ) -> HostingPlan:
-    """Work out what an instance should hold and with whom it exchanges."""
+    """Return what an instance holds and with which peers it exchanges."""
     targets = _targets(table, members, own)
     hosts = _hosts_by_model(table, members, own)
     predecessors = {
@@ -69,14 +69,14 @@
 def _targets(
     table: Table, members: Sequence[Member], own: Member
 ) -> dict[RowId, Target]:
-    found: dict[RowId, Target] = {}
+    targets: dict[RowId, Target] = {}
     for model in hosting.hosted_models(table, members, own):
-        found['model', model.name] = _model_target(model)
+        targets['model', model.name] = _model_target(model)
     by_name = models(table)
     for adapter in hosting.hosted_adapters(table, members, own):
         base = by_name[adapter.base]
-        found['adapter', adapter.name] = _adapter_target(adapter, base)
-    return found
+        targets['adapter', adapter.name] = _adapter_target(adapter, base)
+    return targets
 
 
 def _hosts_by_model(
@@ -106,15 +106,15 @@
     predecessors: Mapping[RowId, str | None],
     policy: Policy,
 ) -> dict[str, Member]:
-    found: dict[str, Member] = {}
+    peers: dict[str, Member] = {}
     watched = {name for name in predecessors.values() if name is not None}
     for model, members in hosts.items():
         chosen = policy.neighbours(
             f'model/{model}', own, tuple(members.values())
         )
         for name in {*chosen, *(watched & members.keys())}:
-            found[name] = members[name]
-    return found
+            peers[name] = members[name]
+    return peers
 
 
 def _model_target(row: ModelRow) -> Target:
--- a/packages/burdockchute-agent/burdockchute_agent/row_switch.py
+++ b/packages/burdockchute-agent/burdockchute_agent/row_switch.py
@@ -1,4 +1,4 @@
-"""One row's weights on this instance: what is wanted and what was ordered."""
+"""Target weights and pending order of one row on this instance."""
 
 from __future__ import annotations
 
@@ -10,20 +10,25 @@
 from burdockchute.upstreams.orders import OrderRefused
 from burdockchute_agent.hosting_plan import Target
 
-# A load that failed is tried again, but not so fast that a broken engine or
-# a broken copy keeps its instance busy.
-RETRY_S = 1.0
+# A failed load is retried with exponential backoff, so that a broken engine
+# or a broken copy doesn't keep its instance busy.
+MIN_RETRY_S = 1.0
 MAX_RETRY_S = 30.0
-# A taken order shows as loading at once; this covers a report that was made
-# just before.
-GRACE_S = 0.5
-# An engine short of memory for a second version says so. A load that fails
-# for any other reason may never work, and the old version is all there is.
-NO_ROOM_STATUS = (409, 507)
+# An engine reports an accepted order as loading at once; this delay covers a
+# report that was made just before.
+REPORT_DELAY_S = 0.5
+# Statuses with which an engine refuses an order for lack of memory for a
+# second version. After any other failure the old version stays loaded: the
+# new one may never load, and the old one is the only one available.
+NO_MEMORY_STATUSES = (409, 507)
 
 
 class RowSwitch:
-    """Keeps the orders of one row apart from each other in time."""
+    """Serialises the orders of one row, and delays retries of failed ones.
+
+    `predecessor` is the member that loads before this one, and
+    `fits_two_versions` whether the engine has memory for two versions.
+    """
 
     def __init__(self, kind: str, name: str) -> None:
         self.kind = kind
@@ -31,17 +36,17 @@
         self.target: Target | None = None
         self.predecessor: str | None = None
         self.fits_two_versions = True
-        self._ordered: Order | None = None
-        self._ended_at: float | None = None
-        self._not_before = 0.0
+        self._pending_order: Order | None = None
+        self._replied_at: float | None = None
+        self._retry_at = 0.0
         self._failures = 0
 
     def set_target(
         self, target: Target | None, predecessor: str | None
     ) -> None:
-        """Take what the row names now; None when it is gone.
+        """Set the weights that the row names now; None when it was removed.
 
-        `before` names whose turn to load comes before ours.
+        `predecessor` is the member that loads before this one.
         """
         self.predecessor = predecessor
         if self.target and target and self.target.digest == target.digest:
@@ -50,19 +55,19 @@
         self.target = target
         self.fits_two_versions = True
         self._failures = 0
-        self._not_before = 0.0
+        self._retry_at = 0.0
 
     def may_order(self, now: float) -> bool:
-        """Tell whether no order is pending and none failed just now."""
-        return self._ordered is None and now >= self._not_before
+        """Whether no order is pending and no retry delay is running."""
+        return self._pending_order is None and now >= self._retry_at
 
     def make_order(
         self, step: Load | Unload, fence: int, size: int, source: str
     ) -> Order:
-        """Make the order for a step.
+        """Return the order for a step.
 
-        `size` is that of the weights in bytes, `source` the base URL from
-        which the engine fetches them.
+        `size` is the size of the weights in bytes, `source` the base URL
+        from which the engine fetches them.
         """
         target = self.target
         return Order(
@@ -78,43 +83,47 @@
         )
 
     def order_sent(self, order: Order) -> None:
-        """Note an order that is on its way."""
-        self._ordered = order
-        self._ended_at = None
+        """Record an order as pending."""
+        self._pending_order = order
+        self._replied_at = None
 
     def order_ended(
         self, outcome: str | OrderRefused | EngineError, now: float
     ) -> None:
-        """Note the engine's reply; the effect is yet to be seen."""
-        self._ended_at = now
+        """Record the engine's reply; only its state shows the effect."""
+        self._replied_at = now
         if isinstance(outcome, EngineError):
-            if outcome.status in NO_ROOM_STATUS:
+            if outcome.status in NO_MEMORY_STATUSES:
                 self.fits_two_versions = False
 
     def observe(
         self,
         loaded: frozenset[str],
         loading: frozenset[str],
-        asked: float,
+        requested_at: float,
         now: float,
     ) -> bool:
         """Compare a report with the pending order; True if it failed.
 
-        Only a report asked for after the engine's reply tells anything.
+        Only a report requested after the engine's reply to the order counts.
         """
-        order = self._ordered
-        if order is None or self._ended_at is None or asked <= self._ended_at:
+        order = self._pending_order
+        if (
+            order is None
+            or self._replied_at is None
+            or requested_at <= self._replied_at
+        ):
             return False
-        done = (order.digest in loaded) == (order.order == 'load')
-        if done:
-            self._ordered = None
+        succeeded = (order.digest in loaded) == (order.order == 'load')
+        if succeeded:
+            self._pending_order = None
             self._failures = 0
             return False
-        busy = order.digest in loading
-        if busy or asked - self._ended_at < GRACE_S:
+        is_loading = order.digest in loading
+        if is_loading or requested_at - self._replied_at < REPORT_DELAY_S:
             return False
-        self._ordered = None
+        self._pending_order = None
         self._failures += 1
-        wait = min(RETRY_S * 2 ** (self._failures - 1), MAX_RETRY_S)
-        self._not_before = now + wait
+        delay_s = min(MIN_RETRY_S * 2 ** (self._failures - 1), MAX_RETRY_S)
+        self._retry_at = now + delay_s
         return True
--- a/packages/burdockchute-agent/burdockchute_agent/weights_states.py
+++ b/packages/burdockchute-agent/burdockchute_agent/weights_states.py
@@ -1,4 +1,4 @@
-"""What entries and operators are told of each row's weights."""
+"""States of each row's weights, as reported to entries and operators."""
 
 from __future__ import annotations
 
@@ -16,29 +16,29 @@
     gate: Gate,
     copying: CopyManager,
 ) -> list[messages.WeightsState]:
-    """Give one state for each digest that is wanted or loaded for a row."""
+    """Return one state for each digest that is wanted or loaded for a row."""
     digests = set(tracker.loaded(switch.kind, switch.name))
     if switch.target:
         digests.add(switch.target.digest)
-    found = []
+    states = []
     for digest in sorted(digests):
         held, total = copying.progress(digest)
         is_loading = digest in tracker.loading(switch.kind, switch.name)
-        is_whole = held == total > 0
-        found.append(
+        is_complete = held == total > 0
+        states.append(
             messages.WeightsState(
                 row=f'{switch.kind}/{switch.name}',
                 digest=digest,
-                phase=_phase(switch, digest, gate, is_loading or is_whole),
+                phase=_phase(switch, digest, gate, is_loading or is_complete),
                 chunks_held=held,
                 chunks_total=total,
             )
         )
-    return found
+    return states
 
 
 def weights_of(switch: RowSwitch, digest: str) -> Weights:
-    """Give the name of a row's weights at the gate."""
+    """Return the weights of a row as the gate identifies them."""
     return Weights(switch.kind, switch.name, digest)
 
 
