--- a/packages/burdockchute-agent/burdockchute_agent/rows_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/rows_task.py
@@ -1,9 +1,9 @@
-"""Rows and members as the entries that dialled this agent tell them.
+"""Rows and members as reported by the entries connected to this agent.
 
-Several entries send, each with a view of its own age. Rows only move to a
-higher offset: an entry that was paused and comes back with older rows is
-ignored, and the log event `delta_ignored` names it. Of members the agent
-keeps the latest view of each entry and takes them together.
+Several entries send them, each with a view of a different age. Rows only
+move to a higher offset: older rows, of an entry that was paused and resumes,
+are ignored, and the log event `delta_ignored` names that entry. Of members
+the agent keeps the latest view of each entry and merges these views.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
         self._views: dict[links.Link, tuple[Member, ...]] = {}
 
     def run(self) -> None:
-        """Handle messages for ever."""
+        """Handle messages until killed."""
         metrics.meter().create_observable_gauge(
             'burdockchute.table.age', [self._observe_age], 's'
         )
@@ -56,21 +56,24 @@
             self.handle(self.inbox.get())
 
     def handle(self, event: links.Event) -> None:
-        """Handle one event of a link to an entry."""
+        """Handle one event of a link with an entry."""
         if isinstance(event, links.Closed):
-            self._forget(event.link)
+            self._drop_view(event.link)
         elif isinstance(event, links.Received):
-            self._received(event.link, event.message)
+            self._handle_message(event.link, event.message)
 
-    def _received(self, link: links.Link, message: Any) -> None:
+    def _handle_message(self, link: links.Link, message: Any) -> None:
         if isinstance(message, messages.TableDelta):
             self._apply(link, message)
         elif isinstance(message, messages.Members):
-            self._view(link, message)
+            self._update_view(link, message)
             self._merge_views()
 
     def age_s(self) -> float | None:
-        """Give the time since an entry knew these rows to be the newest."""
+        """Return the seconds since an entry confirmed these rows as newest.
+
+        None if no entry has.
+        """
         if self._confirmed_at is None:
             return None
         return self._clock() - self._confirmed_at
@@ -81,7 +84,7 @@
         age_s = self.age_s()
         return [] if age_s is None else [otel.Observation(age_s)]
 
-    def _note_age(self, delta: messages.TableDelta) -> None:
+    def _update_age(self, delta: messages.TableDelta) -> None:
         if delta.to_offset != self.table.offset or delta.age_ms is None:
             return
         confirmed_at = self._clock() - delta.age_ms / 1000
@@ -91,7 +94,7 @@
 
     def _apply(self, link: links.Link, delta: messages.TableDelta) -> None:
         self._apply_rows(link, delta)
-        self._note_age(delta)
+        self._update_age(delta)
 
     def _apply_rows(
         self, link: links.Link, delta: messages.TableDelta
@@ -112,7 +115,7 @@
                 entry=link.peer.name,
                 reason=str(result.failure()),
             )
-            _ask_for_whole(link)
+            _request_full_table(link)
             return
         applied = result.unwrap()
         for finding in applied.findings:
@@ -125,7 +128,9 @@
         )
         self._publish(TableChanged(self.table))
 
-    def _view(self, link: links.Link, message: messages.Members) -> None:
+    def _update_view(
+        self, link: links.Link, message: messages.Members
+    ) -> None:
         members = {member.name: member for member in self._views.get(link, ())}
         if not message.changes_only:
             members.clear()
@@ -135,9 +140,9 @@
             members.pop(name, None)
         self._views[link] = tuple(members.values())
 
-    def _forget(self, link: links.Link) -> None:
-        # The last view is kept: an agent that has lost every entry still
-        # knows its peers and can finish a copy.
+    def _drop_view(self, link: links.Link) -> None:
+        # The last view is kept, so that an agent without entries still knows
+        # its peers and can finish a copy.
         if link in self._views and len(self._views) > 1:
             del self._views[link]
             self._merge_views()
@@ -152,7 +157,7 @@
 def merge_views(
     views: Iterable[tuple[Member, ...]],
 ) -> tuple[Member, ...]:
-    """Take the views together: a member is leaving if any view says so."""
+    """Merge views; a member is leaving if any view marks it as leaving."""
     merged: dict[str, Member] = {}
     for view in views:
         for member in view:
@@ -173,7 +178,7 @@
     )
 
 
-def _ask_for_whole(link: links.Link) -> None:
+def _request_full_table(link: links.Link) -> None:
     try:
         link.send(messages.TableRequest(tables.NO_OFFSET))
     except links.LinkError:
--- a/packages/burdockchute-agent/tests/test_rows_task.py
+++ b/packages/burdockchute-agent/tests/test_rows_task.py
@@ -1,4 +1,4 @@
-"""Rows and members as an agent takes them from its entries."""
+"""Rows and members as an agent receives them from its entries."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class FakeLink:
-    """An entry's link that only notes what is sent."""
+    """An entry's link that records the messages sent over it."""
 
     def __init__(self, name: str) -> None:
         self.peer = messages.Hello(name, 'entry')
         self.sent: list[Any] = []
 
     def send(self, message: Any) -> None:
-        """Note a message."""
+        """Record a message."""
         self.sent.append(message)
 
 
@@ -31,57 +31,61 @@
         self.now = 100.0
         self.published: list[Any] = []
         self.task = rows_task.RowsTask(self.published.append, lambda: self.now)
-        self.fresh = FakeLink('e1')
-        self.stale = FakeLink('e2')
+        self.current = FakeLink('e1')
+        self.outdated = FakeLink('e2')
 
     def receive(self, link: FakeLink, message: Any) -> None:
         self.task.handle(links.Received(link, message))
 
-    def tell(self, link: FakeLink, table: Table, age_ms: int = 0) -> None:
+    def send_table(
+        self, link: FakeLink, table: Table, age_ms: int = 0
+    ) -> None:
         delta = deltas.whole(table)
         delta.age_ms = age_ms
         self.receive(link, delta)
 
-    def test_older_rows_of_a_stale_entry_are_ignored(self):
-        # One of the agent's entries was stopped for an hour and goes on.
+    def test_older_rows_of_an_outdated_entry_are_ignored(self):
+        # One of the agent's entries was stopped for an hour and resumes.
         older = tables.table_of(tables.model())
         newer = tables.table_of(tables.model(), tables.service())
-        self.tell(self.fresh, newer)
-        self.tell(self.stale, older)
+        self.send_table(self.current, newer)
+        self.send_table(self.outdated, older)
         self.assertEqual(newer.rows, self.task.table.rows)
         self.assertEqual(1, len(self.published))
         self.assertIsInstance(self.published[0], TableChanged)
 
-    def test_age_is_that_of_the_entry_that_knows_best(self):
+    def test_age_is_the_lowest_that_an_entry_reports(self):
         self.assertIsNone(self.task.age_s())
         table = tables.table_of(tables.model())
-        self.tell(self.fresh, table, age_ms=500)
+        self.send_table(self.current, table, age_ms=500)
         self.now += 1
         self.assertEqual(1.5, self.task.age_s())
-        self.tell(self.stale, table, age_ms=3_600_000)
+        self.send_table(self.outdated, table, age_ms=3_600_000)
         self.assertEqual(1.5, self.task.age_s())
-        self.tell(self.fresh, table, age_ms=200)
+        self.send_table(self.current, table, age_ms=200)
         self.assertAlmostEqual(0.2, self.task.age_s())
 
-    def test_old_rows_do_not_become_new_by_a_young_age(self):
-        # An entry says how old its older rows are; that tells nothing of
-        # the newer rows which this agent holds.
+    def test_low_age_of_older_rows_is_ignored(self):
+        # An entry with older rows reports their age, which says nothing of
+        # the newer rows that this agent holds.
         table = tables.table_of(tables.model(), tables.service())
-        self.tell(self.fresh, table, age_ms=5000)
-        self.tell(self.stale, tables.table_of(tables.model()), age_ms=0)
+        self.send_table(self.current, table, age_ms=5000)
+        self.send_table(
+            self.outdated, tables.table_of(tables.model()), age_ms=0
+        )
         self.assertEqual(5, self.task.age_s())
 
-    def test_gap_asks_for_the_whole(self):
-        self.receive(self.fresh, messages.TableDelta(7, 9, []))
-        self.assertEqual([messages.TableRequest(-1)], self.fresh.sent)
+    def test_gap_requests_the_full_table(self):
+        self.receive(self.current, messages.TableDelta(7, 9, []))
+        self.assertEqual([messages.TableRequest(-1)], self.current.sent)
 
-    def test_members_come_whole_and_then_as_changes(self):
+    def test_members_are_sent_in_full_and_then_as_changes(self):
         first = [member('a1'), member('a2'), member('a3')]
-        self.receive(self.fresh, messages.Members(first, 1))
-        self.receive(self.stale, messages.Members(first[:1], 1))
+        self.receive(self.current, messages.Members(first, 1))
+        self.receive(self.outdated, messages.Members(first[:1], 1))
         moved = member('a2', port=9)
         self.receive(
-            self.fresh,
+            self.current,
             messages.Members([moved, member('a4')], 2, True, ['a3', 'x']),
         )
         self.assertEqual(
