--- a/packages/burdockchute-agent/burdockchute_agent/runner.py
+++ b/packages/burdockchute-agent/burdockchute_agent/runner.py
@@ -1,9 +1,9 @@
 """Run requests on the upstream, each in a greenlet of its own.
 
-The runner is the only part that hands a request on, so it is the only one
-that may say NotRun. Before the call is sent every refusal is certain; from
-then on each failure is an AnswerEnd with an error, which leaves it open
-whether the request ran.
+Only the runner forwards requests, so only it may answer NotRun. Before the
+call is sent, a refused request has certainly not run. From then on each
+failure is an AnswerEnd with an error, which leaves open whether the request
+ran.
 """
 
 from __future__ import annotations
@@ -23,14 +23,15 @@
 from burdockchute.upstreams.gate import Gate
 from burdockchute.wire import messages
 
-# An agent remembers attempts for as long as an entry could still hold the
-# dispatch of a non-idempotent request in a connection that was thought
-# lost; more than the longest deadline of a request, and few enough to keep.
+# Attempt ids are remembered to reject duplicates: a dispatch of a
+# non-idempotent request can still arrive through a connection that was
+# considered lost. At this number they span more than the longest deadline of
+# a request, and take little memory.
 MAX_REMEMBERED_ATTEMPTS = 20_000
 
 MAX_PLAIN_ANSWER_BYTES = 8 * 1024 * 1024
 
-# What an engine answers when it has not taken a request on.
+# Statuses with which an engine refuses a request without running it.
 ENGINE_REFUSALS = (404, 409, 429, 503)
 
 REFUSED_RETRY_MS = 500
@@ -38,20 +39,20 @@
 LEAVING = 'leaving'
 
 EVENT_STREAM = 'text/event-stream'
-_LAST_EVENT = '[DONE]'
+_END_OF_STREAM = '[DONE]'
 
 
-class Run(NamedTuple):
-    """A request in flight."""
+class RunningRequest(NamedTuple):
+    """A request in flight; `is_cancellable` unless it goes to a service."""
 
     link: links.Link
     greenlet: Any
     started: float
-    may_stop: bool
+    is_cancellable: bool
 
 
 class Upstream(NamedTuple):
-    """Where requests run."""
+    """URL of the upstream and the longest wait for its next bytes."""
 
     url: str
     stall_s: float
@@ -61,7 +62,7 @@
     pass
 
 
-class _OtherWeightsError(Exception):
+class _WeightsMismatchError(Exception):
     pass
 
 
@@ -73,53 +74,58 @@
         self.finished = 0
         self._upstream = upstream
         self._gate = gate
-        self._runs: dict[str, Run] = {}
+        self._runs: dict[str, RunningRequest] = {}
         self._attempts: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
 
     def dispatch(self, link: links.Link, req: messages.Dispatch) -> None:
-        """Start a request that came over a link."""
+        """Start a request received over a link."""
         if req.attempt_id in self._attempts:
             # A dispatch that was delayed in a connection arrives after the
-            # entry sent it again. Saying NotRun here would be a lie, since
-            # the first one may have run.
-            self._send_end(link, _end(req, 0, 0, error='attempt came twice'))
+            # entry has sent it again. NotRun would be wrong here, since the
+            # first one may have run.
+            self._send_end(
+                link, _answer_end(req, 0, 0, error='attempt came twice')
+            )
             return
-        self._remember(req.attempt_id)
+        self._remember_attempt(req.attempt_id)
         greenlet = gevent.Greenlet(self._run, link, req)
-        # A request that is cancelled before its greenlet first runs ends
-        # without running any of it; only this link then takes it off.
-        greenlet.rawlink(lambda ended: self._forget(req.request_id, ended))
-        self._runs[req.request_id] = Run(
-            link, greenlet, time.monotonic(), may_stop=not req.path
+        # If a request is cancelled before its greenlet starts, none of
+        # `_run` is executed, and only this callback removes the request.
+        greenlet.rawlink(lambda ended: self._remove(req.request_id, ended))
+        self._runs[req.request_id] = RunningRequest(
+            link, greenlet, time.monotonic(), is_cancellable=not req.path
         )
         greenlet.start()
 
     def cancel(self, request_id: str) -> None:
-        """Stop a request whose caller has gone or given up."""
+        """Stop a request whose caller has disconnected or timed out."""
         run = self._runs.get(request_id)
-        if run is not None and run.may_stop:
+        if run is not None and run.is_cancellable:
             run.greenlet.kill(block=False)
 
     def link_closed(self, link: links.Link) -> None:
-        """Stop what came over a link: nobody is left to take its answer.
+        """Stop the requests received over a link that closed.
 
-        The entry at the other end reports these as unknown or runs them
-        again, so that their answers would be thrown away. A call to a plain
-        service goes on, since a postal dispatch that is broken off half-way
-        is worse than one whose answer is lost.
+        The entry at the other end reports them as unknown or retries them,
+        so their answers would be discarded. A call to a plain service goes
+        on: a postal dispatch that is interrupted half-way is worse than one
+        whose answer is lost.
         """
         for run in list(self._runs.values()):
-            if run.link is link and run.may_stop:
+            if run.link is link and run.is_cancellable:
                 run.greenlet.kill(block=False)
 
     def running(self) -> int:
-        """Give the number of requests in flight."""
+        """Return the number of requests in flight."""
         return len(self._runs)
 
     def drain(self, timeout: float) -> bool:
-        """Refuse new requests and wait for those in flight."""
+        """Refuse new requests and wait for those in flight.
+
+        Return whether all ended within `timeout` seconds.
+        """
         self.leaving = True
         gevent.joinall(
             [run.greenlet for run in self._runs.values()], timeout=timeout
@@ -128,7 +134,9 @@
 
     def _run(self, link: links.Link, req: messages.Dispatch) -> None:
         try:
-            with gevent.Timeout(max(req.budget_ms, 0) / 1000, _Expired):
+            with gevent.Timeout(
+                max(req.budget_ms, 0) / 1000, _DeadlinePassedError
+            ):
                 self._run_admitted(link, req)
         except _NotRunError as exc:
             _send(
@@ -142,18 +150,21 @@
                 target=req.target,
                 reason=str(exc),
             )
-        except _Expired:
-            self._send_end(link, _end(req, 0, 0, error='deadline passed'))
+        except _DeadlinePassedError:
+            self._send_end(
+                link, _answer_end(req, 0, 0, error='deadline passed')
+            )
         except calls.Broken as exc:
             self._send_end(
-                link, _end(req, 0, 0, error=str(exc), crashed=exc.crashed)
+                link,
+                _answer_end(req, 0, 0, error=str(exc), crashed=exc.crashed),
             )
         except links.LinkError:
-            # The entry sees its end of the link close and decides.
+            # The entry notices that the link closed, and handles the request.
             pass
         except Exception:
-            # Without this the caller would wait for its whole deadline.
-            self._send_end(link, _end(req, 0, 0, error='agent failed'))
+            # Without an answer the caller would wait until its deadline.
+            self._send_end(link, _answer_end(req, 0, 0, error='agent failed'))
             logs.warn(
                 'request_failed',
                 request_id=req.request_id,
@@ -167,7 +178,7 @@
             raise _NotRunError(LEAVING)
         if req.budget_ms <= 0:
             raise _NotRunError('deadline passed')
-        pinned = (_row_of(req), req.digest, req.adapter_digest)
+        pinned = (_row_name(req), req.digest, req.adapter_digest)
         refusal = self._gate.enter(*pinned)
         if refusal is not None:
             raise _NotRunError(refusal.reason)
@@ -184,27 +195,29 @@
         finally:
             reply.close()
         _send(link, messages.AnswerPart(req.request_id, 0, body))
-        self._send_end(link, _end(req, 1, reply.status, reply.content_type))
+        self._send_end(
+            link, _answer_end(req, 1, reply.status, reply.content_type)
+        )
 
     def _run_engine(self, link: links.Link, req: messages.Dispatch) -> None:
         try:
-            reply = self._pass_on(link, req)
-        except _OtherWeightsError as exc:
-            self._gate.doubt(_row_of(req), req.digest, req.adapter_digest)
+            reply = self._forward(link, req)
+        except _WeightsMismatchError as exc:
+            self._gate.doubt(_row_name(req), req.digest, req.adapter_digest)
             self._stop_on_engine(req)
-            self._send_end(link, _end(req, 0, 0, error=str(exc)))
+            self._send_end(link, _answer_end(req, 0, 0, error=str(exc)))
         except _NotRunError:
             raise
         except BaseException:
-            # Cancelled, expired or broken. An engine goes on with a request
-            # whose connection is gone, so that it can be resumed; its slot
-            # would do work for nobody while others wait.
+            # Cancelled, expired or broken. An engine continues a request
+            # whose connection has closed, so that it can be resumed. Unless
+            # it is cancelled there, it occupies a slot that others wait for.
             self._stop_on_engine(req)
             raise
         else:
             self._send_end(link, reply)
 
-    def _pass_on(
+    def _forward(
         self, link: links.Link, req: messages.Dispatch
     ) -> messages.AnswerEnd:
         body = _engine_body(req)
@@ -212,12 +225,12 @@
         try:
             if reply.status in ENGINE_REFUSALS:
                 raise _NotRunError(f'engine answered {reply.status}')
-            pass_on = _stream_on if req.stream else _plain_on
-            parts = pass_on(link, req, reply)
+            forward = _forward_stream if req.stream else _forward_plain
+            parts = forward(link, req, reply)
         finally:
             reply.close()
         content_type = EVENT_STREAM if req.stream else reply.content_type
-        return _end(req, parts, reply.status, content_type)
+        return _answer_end(req, parts, reply.status, content_type)
 
     def _stop_on_engine(self, req: messages.Dispatch) -> None:
         gevent.spawn(_cancel, self._upstream.url, req.request_id)
@@ -241,25 +254,25 @@
         except calls.NotConnected as exc:
             raise _NotRunError(f'upstream takes no connection: {exc}') from exc
 
-    def _forget(self, request_id: str, ended: gevent.Greenlet) -> None:
+    def _remove(self, request_id: str, ended: gevent.Greenlet) -> None:
         self.finished += 1
         run = self._runs.get(request_id)
         if run is not None and run.greenlet is ended:
             del self._runs[request_id]
 
     def _send_end(self, link: links.Link, end: messages.AnswerEnd) -> None:
-        # Reports come each second, in which a short request comes and goes
-        # several times; what is still in hand goes with each answer.
+        # Load reports are sent each second, and several short requests can
+        # start and end in between; so each answer carries the current count.
         end.running = max(0, len(self._runs) - 1)
         _send(link, end)
 
-    def _remember(self, attempt_id: str) -> None:
+    def _remember_attempt(self, attempt_id: str) -> None:
         self._attempts[attempt_id] = None
         if len(self._attempts) > MAX_REMEMBERED_ATTEMPTS:
             self._attempts.popitem(last=False)
 
 
-class _Expired(Exception):
+class _DeadlinePassedError(Exception):
     pass
 
 
@@ -268,16 +281,16 @@
     try:
         calls.send(url, 'POST', path, b'', {}, CANCEL_TIMEOUT_S).close()
     except (calls.NotConnected, calls.Broken):
-        # An engine that is gone has nothing left to cancel.
+        # An engine that is down has nothing to cancel.
         pass
 
 
-def _stream_on(
+def _forward_stream(
     link: links.Link, req: messages.Dispatch, reply: calls.Reply
 ) -> int:
     sequence = 0
     for data in calls.events(reply):
-        if data == _LAST_EVENT:
+        if data == _END_OF_STREAM:
             return sequence
         _check_digests(req, data)
         link.send(messages.AnswerPart(req.request_id, sequence, data.encode()))
@@ -285,7 +298,7 @@
     raise calls.Broken('stream ended without its last event')
 
 
-def _plain_on(
+def _forward_plain(
     link: links.Link, req: messages.Dispatch, reply: calls.Reply
 ) -> int:
     body = calls.whole_body(reply, MAX_PLAIN_ANSWER_BYTES)
@@ -296,22 +309,22 @@
 
 
 def _check_digests(req: messages.Dispatch, data: str | bytes) -> None:
-    # An order of an agent that was paused, or a restart of the engine, can
-    # change its weights behind the gate. The answer itself says what made
-    # it; one from other weights than the request was pinned to must not
-    # reach a caller as if nothing had happened.
+    # An order from an agent that was paused, or a restart of the engine, can
+    # change the engine's weights while the gate stays open. Each answer names
+    # the weights that produced it; an answer from other weights than those
+    # the request is pinned to must not reach the caller as a success.
     try:
         event = json.loads(data)
-        made_by = event.get('digest', ''), event.get('adapter_digest', '')
+        actual = event.get('digest', ''), event.get('adapter_digest', '')
     except (ValueError, AttributeError):
         raise calls.Broken('answer is not a JSON object') from None
-    if made_by != (req.digest, req.adapter_digest):
-        raise _OtherWeightsError(
-            f'answer is from weights {made_by[0]!r}, adapter {made_by[1]!r}'
+    if actual != (req.digest, req.adapter_digest):
+        raise _WeightsMismatchError(
+            f'answer is from weights {actual[0]!r}, adapter {actual[1]!r}'
         )
 
 
-def _row_of(req: messages.Dispatch) -> str:
+def _row_name(req: messages.Dispatch) -> str:
     return req.adapter or req.target
 
 
@@ -329,7 +342,7 @@
     return json.dumps(body).encode()
 
 
-def _end(
+def _answer_end(
     req: messages.Dispatch,
     parts: int,
     status: int,
@@ -353,5 +366,5 @@
     try:
         link.send(message)
     except links.LinkError:
-        # The entry sees its end of the link close and decides from there.
+        # The entry notices that the link closed, and handles the request.
         pass
