--- a/packages/burdockchute/burdockchute/decisions/burn.py
+++ b/packages/burdockchute/burdockchute/decisions/burn.py
@@ -1,14 +1,15 @@
-"""How fast requests use up what a service-level objective allows to fail.
+"""Burn rates of service-level objectives and the alerts on them.
 
-Answers slow decay and sudden outage alike. With one window, an alert is
-either late (a long window) or goes off for each hiccup (a short one); the
-operator then learns to ignore it. Each alert here therefore asks two windows:
-the long one shows that it matters, the short one that it still goes on.
+The alerts detect both slow degradation and sudden outages. An alert on a
+single window either fires late (long window) or on each short disturbance
+(short window), until operators ignore it. Each alert therefore needs two
+windows over its threshold: the long one shows that the problem is
+significant, the short one that it is still going on.
 
-A burn rate of 1 uses up exactly what the objective allows over its period.
-The thresholds are those of common practice for a period of 30 days: 14.4
-over 1 h uses 2% of the period's allowance, 6 over 6 h uses 5%, 1 over 3 days
-10%.
+A burn rate of 1 consumes exactly the error budget over the objective's
+period. The thresholds are those of common practice for a period of 30 days:
+14.4 over 1 h consumes 2% of the budget, 6 over 6 h consumes 5%, 1 over 3
+days 10%.
 
 >>> counts = Counts()
 >>> key = Key('evening', 'library', 'story', 'availability')
@@ -24,16 +25,16 @@
 MINUTE_S = 60.0
 HOUR_S = 3600.0
 
-# Minutes are kept for the 6 h window, hours for the 3 day one.
+# Minute buckets serve the windows up to 6 h, hour buckets the 3 day window.
 _KEPT_MINUTES = 361
 _KEPT_HOURS = 73
 
-# A single bad request out of three must not wake anybody.
+# One failed request out of three must not page an operator.
 MIN_EVENTS = 20
 
 
 class Key(NamedTuple):
-    """What is counted; `indicator` is one of INDICATORS."""
+    """Identifies one series of events; `indicator` is one of INDICATORS."""
 
     objective: str
     customer: str
@@ -45,7 +46,7 @@
 
 
 class Alert(NamedTuple):
-    """Two windows in seconds and the burn rate that both must exceed."""
+    """Two windows in seconds and the burn rate that both have to reach."""
 
     name: str
     short_s: float
@@ -61,32 +62,32 @@
 
 
 class Sum(NamedTuple):
-    """Events of a window."""
+    """Counts of all and of failed events in a window."""
 
     total: int
     bad: int
 
 
 class Counts:
-    """Events by minute and by hour; times are seconds of any clock."""
+    """Event counts by minute and by hour; times are seconds of any clock."""
 
     def __init__(self) -> None:
         self._minutes: dict[Key, dict[int, Sum]] = {}
         self._hours: dict[Key, dict[int, Sum]] = {}
 
     def keys(self) -> list[Key]:
-        """Give every key that has events."""
+        """Return every key that has events, sorted."""
         return sorted(self._hours)
 
     def add(self, now: float, key: Key, total: int, bad: int) -> None:
-        """Count events of this moment."""
+        """Count events that happened at `now`."""
         _add(self._minutes, key, int(now // MINUTE_S), total, bad)
         _add(self._hours, key, int(now // HOUR_S), total, bad)
         _prune(self._minutes[key], _KEPT_MINUTES)
         _prune(self._hours[key], _KEPT_HOURS)
 
     def sum(self, now: float, key: Key, window_s: float) -> Sum:
-        """Give the events of the last `window_s` seconds."""
+        """Return the event counts of the last `window_s` seconds."""
         if window_s <= 6 * HOUR_S:
             return _sum(self._minutes, key, now, window_s, MINUTE_S)
         return _sum(self._hours, key, now, window_s, HOUR_S)
@@ -94,34 +95,34 @@
     def rate(
         self, now: float, key: Key, window_s: float, target: float
     ) -> float:
-        """Give the burn rate of one window; `target` is a share below 1."""
+        """Return the burn rate of one window; `target` is a share below 1."""
         return burn_rate(self.sum(now, key, window_s), target)
 
 
 def burn_rate(events: Sum, target: float) -> float:
-    """Give the share of bad events over the share that may be bad."""
+    """Return the share of failed events over the share allowed to fail."""
     if not events.total:
         return 0.0
     return events.bad / events.total / max(1.0 - target, 1e-9)
 
 
 def alert_for(sums: dict[float, Sum], target: float) -> str:
-    """Give the name of the most urgent alert that is due, or ''.
+    """Return the name of the most urgent alert that fires, or ''.
 
-    `sums` has the events of each window that ALERTS name.
+    `sums` maps each window of ALERTS, in seconds, to its event counts.
     """
     for alert in ALERTS:
         long, short = sums[alert.long_s], sums[alert.short_s]
         if long.total < MIN_EVENTS:
             continue
-        both = min(burn_rate(long, target), burn_rate(short, target))
-        if both >= alert.rate:
+        lower_rate = min(burn_rate(long, target), burn_rate(short, target))
+        if lower_rate >= alert.rate:
             return alert.name
     return ''
 
 
 def windows() -> list[float]:
-    """Give every window that the alerts look at, shortest first."""
+    """Return every window of the alerts in seconds, shortest first."""
     found = {alert.short_s for alert in ALERTS}
     found.update(alert.long_s for alert in ALERTS)
     return sorted(found)
@@ -134,15 +135,15 @@
     total: int,
     bad: int,
 ) -> None:
-    of_key = buckets.setdefault(key, {})
-    old = of_key.get(number, Sum(0, 0))
-    of_key[number] = Sum(old.total + total, old.bad + bad)
+    key_buckets = buckets.setdefault(key, {})
+    old = key_buckets.get(number, Sum(0, 0))
+    key_buckets[number] = Sum(old.total + total, old.bad + bad)
 
 
-def _prune(of_key: dict[int, Sum], kept: int) -> None:
-    newest = max(of_key)
-    for number in [n for n in of_key if n <= newest - kept]:
-        del of_key[number]
+def _prune(key_buckets: dict[int, Sum], kept: int) -> None:
+    newest = max(key_buckets)
+    for number in [n for n in key_buckets if n <= newest - kept]:
+        del key_buckets[number]
 
 
 def _sum(
