--- a/packages/burdockchute/burdockchute/decisions/chunks.py
+++ b/packages/burdockchute/burdockchute/decisions/chunks.py
@@ -1,15 +1,15 @@
-"""Which chunk to get next, and from which peer.
-
-Load: hundreds of agents want all chunks of the same weights, and each has
-some of them. If all asked for the same chunk first, its few holders would be
-overrun while other links stood idle, and the last chunk would be copied from
-one agent to the next, one after the other.
-
-A choice is a function of the offers that are useful now: each offer is a
-peer with the chunks that it holds and that are still missing here and asked
-of nobody. Sets of chunks are whole numbers used as bitmaps. Peers in the own
-zone go first, then those in the region: an offer from farther away counts
-only if no nearer one is useful.
+"""Policies that choose the next chunk to request and the peer to ask.
+
+Hundreds of agents fetch all chunks of the same weights, and each holds some
+of them. If all requested the same chunk first, its few holders would be
+overloaded while other links are idle, and the last chunk would be copied
+from agent to agent in sequence.
+
+A policy chooses among the current offers. Each offer is a peer with the
+chunks that it holds and that are neither held nor requested here. Sets of
+chunks are integers used as bitmaps. Peers in the own zone go first, then
+those in the own region: an offer from farther away is considered only if no
+nearer peer has a useful chunk.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 
 class Offer(NamedTuple):
-    """What one peer could send now.
+    """The chunks that one peer could send now.
 
-    `useful` is a bitmap of chunks, `load` how many uploads it has in
-    progress and queued, `distance` as in `neighbours.distance`.
+    `useful` is a bitmap of chunks, `load` the number of uploads that the
+    peer has in progress and queued, `distance` as in `neighbours.distance`.
     """
 
     peer: str
@@ -35,20 +35,20 @@
 
 
 class Choice(NamedTuple):
-    """Ask this peer for this chunk."""
+    """A chunk to request and the peer to request it from."""
 
     peer: str
     chunk: int
 
 
-# Counts of known holders for each chunk.
+# Number of known holders of each chunk.
 Holders = Sequence[int]
 
 ChunkPolicy = Callable[[Sequence[Offer], Holders, random.Random], Choice]
 
 
 def nearest(offers: Sequence[Offer]) -> list[Offer]:
-    """Give the useful offers from the shortest distance that has any."""
+    """Return the offers with useful chunks at the shortest distance."""
     useful = [offer for offer in offers if offer.useful]
     shortest = min((offer.distance for offer in useful), default=0)
     return [offer for offer in useful if offer.distance == shortest]
@@ -57,7 +57,7 @@
 def uniform(
     offers: Sequence[Offer], holders: Holders, rng: random.Random
 ) -> Choice:
-    """Any peer, any of its chunks."""
+    """Return a random chunk of a random peer."""
     offer = rng.choice(offers)
     return Choice(offer.peer, _any_chunk(offer.useful, rng))
 
@@ -65,7 +65,7 @@
 def least_loaded(
     offers: Sequence[Offer], holders: Holders, rng: random.Random
 ) -> Choice:
-    """The peer with the fewest uploads, any of its chunks."""
+    """Return a random chunk of the peer with the fewest uploads."""
     offer = _least(offers, rng)
     return Choice(offer.peer, _any_chunk(offer.useful, rng))
 
@@ -73,41 +73,41 @@
 def rarest_first(
     offers: Sequence[Offer], holders: Holders, rng: random.Random
 ) -> Choice:
-    """The chunk with the fewest known holders, from any of these."""
+    """Return the chunk with the fewest holders, from a random holder."""
     chunk = _rarest(offers, holders, rng)
-    having = [offer for offer in offers if offer.useful >> chunk & 1]
-    return Choice(rng.choice(having).peer, chunk)
+    offering = [offer for offer in offers if offer.useful >> chunk & 1]
+    return Choice(rng.choice(offering).peer, chunk)
 
 
 def rarest_from_least_loaded(
     offers: Sequence[Offer], holders: Holders, rng: random.Random
 ) -> Choice:
-    """The chunk with the fewest holders, from the one with least to do."""
+    """Return the chunk with the fewest holders, from the least loaded."""
     chunk = _rarest(offers, holders, rng)
-    having = [offer for offer in offers if offer.useful >> chunk & 1]
-    return Choice(_least(having, rng).peer, chunk)
+    offering = [offer for offer in offers if offer.useful >> chunk & 1]
+    return Choice(_least(offering, rng).peer, chunk)
 
 
 def lottery(
     offers: Sequence[Offer], holders: Holders, rng: random.Random
 ) -> Choice:
-    """A peer drawn by lot, with one ticket for each useful chunk.
+    """Return a random chunk of a peer drawn by its number of useful chunks.
 
     After Roussev and Wu, "Task Scheduling on NOWs using Lottery-Based Work
-    Stealing", where a thief draws its victim with tickets by how much work
-    the victim is likely to give.
+    Stealing", where the chance to be stolen from grows with the amount of
+    work that a node is likely to give away.
     """
-    tickets = [offer.useful.bit_count() for offer in offers]
-    offer = rng.choices(offers, tickets)[0]
+    draw_weights = [offer.useful.bit_count() for offer in offers]
+    offer = rng.choices(offers, draw_weights)[0]
     return Choice(offer.peer, _any_chunk(offer.useful, rng))
 
 
 def free_lottery(
     offers: Sequence[Offer], holders: Holders, rng: random.Random
 ) -> Choice:
-    """A peer drawn by lot, with more tickets the less it has to do."""
-    tickets = [1.0 / (1 + offer.load) for offer in offers]
-    offer = rng.choices(offers, tickets)[0]
+    """Return a random chunk of a peer drawn by its inverse load."""
+    draw_weights = [1.0 / (1 + offer.load) for offer in offers]
+    offer = rng.choices(offers, draw_weights)[0]
     return Choice(offer.peer, _any_chunk(offer.useful, rng))
 
 
@@ -122,15 +122,15 @@
 
 
 def set_bits(bitmap: int) -> Iterator[int]:
-    """Give the places of the bits that are set.
+    """Yield the positions of the bits that are set.
 
     >>> list(set_bits(0b1011))
     [0, 1, 3]
     """
     while bitmap:
-        low = bitmap & -bitmap
-        yield low.bit_length() - 1
-        bitmap ^= low
+        lowest_bit = bitmap & -bitmap
+        yield lowest_bit.bit_length() - 1
+        bitmap ^= lowest_bit
 
 
 def _any_chunk(useful: int, rng: random.Random) -> int:
@@ -146,16 +146,16 @@
     union = 0
     for offer in offers:
         union |= offer.useful
-    fewest = None
-    found: list[int] = []
+    fewest_holders = None
+    rarest: list[int] = []
     for chunk in set_bits(union):
         count = holders[chunk]
-        if fewest is None or count < fewest:
-            fewest = count
-            found = []
-        if count == fewest:
-            found.append(chunk)
-    return rng.choice(found)
+        if fewest_holders is None or count < fewest_holders:
+            fewest_holders = count
+            rarest = []
+        if count == fewest_holders:
+            rarest.append(chunk)
+    return rng.choice(rarest)
 
 
 def _least(offers: Sequence[Offer], rng: random.Random) -> Offer:
