--- a/packages/burdockchute/burdockchute/decisions/claims.py
+++ b/packages/burdockchute/burdockchute/decisions/claims.py
@@ -1,24 +1,23 @@
-"""Claims: which attempt may run a non-idempotent request.
-
-Load it answers: the same request sent to several entries at once, sent
-again after a lost answer, or handed on by an entry that was paused and
-believes that it still may.
-
-Without it a print proof is billed twice, a letter posted twice.
-
-How it decides: claims on a key are records in the platform's log, and the
-first one in the log's order holds the key. There is no lease that could
-lapse, and so no paused holder to fear: nobody else ever gets the key unless
-the holding attempt itself was given up with certainty, which a release in
-the log says. An attempt whose outcome is not known holds its key for good.
-A record that is in the log twice counts once, since the attempt's id is in
-it, and a claim that lands after its own release counts for nothing.
-
-Thresholds: a key is good for WINDOW_S from the time of issue that it
-carries, long enough for a person or a job with backoff to come again. Older
-keys are refused, since nobody could tell whether they have run. Clocks of
-two entries may differ by SKEW_S; keys are remembered for the window and
-twice that. The log has to keep its records for longer than KEEP_S.
+"""Claims on idempotency keys: which attempt may run a request.
+
+The same non-idempotent request may be sent to several entries at once, sent
+again after a lost answer, or forwarded by an entry that was paused and
+assumes that it may still do so. Without claims a print proof would be billed
+twice and a letter posted twice.
+
+Claims on a key are records in the platform's log, and the first one in the
+log's order holds the key. There is no lease that could expire, and so a
+paused holder can do no harm: no other attempt gets the key unless the
+holding attempt was certainly abandoned, which a release in the log records.
+An attempt whose outcome is unknown holds its key for good. A record that is
+in the log twice counts once, since it carries the attempt's id, and a claim
+that is appended after its own release has no effect.
+
+A key is valid for WINDOW_S from the time of issue that it carries, long
+enough for a person or a job with backoff to retry. Older keys are refused,
+since it can't be told any more whether their request has run. The clocks of
+two entries may differ by SKEW_S, so keys are remembered for the window plus
+twice that. The log has to retain its records for longer than KEEP_S.
 """
 
 from __future__ import annotations
@@ -45,8 +44,8 @@
 
 STREAMS = 16
 
-# A recorded answer takes room in the log and in memory for the window;
-# receipts of prints and dispatches are far smaller than this.
+# A recorded answer occupies the log and memory for the window; receipts of
+# prints and dispatches are far smaller than this.
 MAX_RECORDED_BYTES = 16 * 1024
 
 FORMAT = 1
@@ -58,17 +57,20 @@
 
 
 class ClaimKey(NamedTuple):
-    """An idempotency key of one customer; `key` starts with its issue."""
+    """An idempotency key of one customer.
+
+    `key` starts with its time of issue in Unix seconds, followed by a dash.
+    """
 
     customer: str
     key: str
 
 
 class Act(NamedTuple):
-    """One step of an attempt, as it stands in the log.
+    """A claim, release or finish of one attempt, as recorded in the log.
 
-    `request_digest` tells a resend from another request under the same key.
-    `outcome` is only set to finish.
+    `act` is one of ACTS. `request_digest` distinguishes a resend from another
+    request under the same key. `outcome` is only set where `act` is FINISH.
     """
 
     act: str
@@ -78,58 +80,58 @@
     outcome: str = ''
 
 
-class _Holding(NamedTuple):
+class _KeyState(NamedTuple):
     attempt_id: str
     request_digest: str
     outcome: str
     released: frozenset[str]
 
 
-_NOBODY = _Holding('', '', '', frozenset())
+_UNCLAIMED = _KeyState('', '', '', frozenset())
 
 
 class ClaimTable:
-    """Who holds which key, after the records that were applied."""
+    """The holder of each key, after the records that were applied."""
 
     def __init__(self) -> None:
-        self._holdings: dict[ClaimKey, _Holding] = {}
+        self._states: dict[ClaimKey, _KeyState] = {}
 
     def __len__(self) -> int:
-        return len(self._holdings)
+        return len(self._states)
 
     def apply(self, act: Act, now_unix: float) -> None:
-        """Take in the next act in the log's order."""
+        """Apply the next act in the log's order."""
         if _age(act.key, now_unix) > KEEP_S:
             return
-        old = self._holdings.get(act.key, _NOBODY)
-        self._holdings[act.key] = _STEPS[act.act](old, act)
+        old = self._states.get(act.key, _UNCLAIMED)
+        self._states[act.key] = _TRANSITIONS[act.act](old, act)
 
     def verdict(self, act: Act, now_unix: float) -> Verdict:
-        """Tell a claim that was applied whether it has won."""
+        """Return the verdict on a claim that was applied before."""
         if _age(act.key, now_unix) > WINDOW_S + SKEW_S:
             return OutsideWindow('Idempotency-Key was issued too long ago')
-        holding = self._holdings.get(act.key, _NOBODY)
-        if holding.attempt_id == act.attempt_id:
+        state = self._states.get(act.key, _UNCLAIMED)
+        if state.attempt_id == act.attempt_id:
             return Won(act.attempt_id)
-        if not holding.attempt_id:
-            # This attempt was released before its claim has landed.
+        if not state.attempt_id:
+            # This attempt was released before its claim was appended.
             return Held()
-        if holding.request_digest != act.request_digest:
+        if state.request_digest != act.request_digest:
             return OtherBody()
-        if holding.outcome:
-            return Recorded(decode_outcome(holding.outcome))
+        if state.outcome:
+            return Recorded(decode_outcome(state.outcome))
         return Held()
 
     def forget(self, now_unix: float) -> None:
-        """Drop keys that are refused everywhere by their age."""
-        self._holdings = {
-            key: holding
-            for key, holding in self._holdings.items()
+        """Drop keys that every entry refuses because of their age."""
+        self._states = {
+            key: state
+            for key, state in self._states.items()
             if _age(key, now_unix) <= KEEP_S
         }
 
 
-def _claim(old: _Holding, act: Act) -> _Holding:
+def _claim(old: _KeyState, act: Act) -> _KeyState:
     if old.attempt_id or act.attempt_id in old.released:
         return old
     return old._replace(
@@ -137,27 +139,27 @@
     )
 
 
-def _release(old: _Holding, act: Act) -> _Holding:
-    # The release may stand before the claim that it takes back: the claim's
-    # append was thought lost and lands late. It is kept in mind, or that
-    # claim would hold the key with nobody to run it.
+def _release(old: _KeyState, act: Act) -> _KeyState:
+    # The release may precede the claim that it cancels, where the claim's
+    # append was taken for lost and completes late. It is remembered, as that
+    # claim would otherwise hold the key with no attempt left to run.
     released = old.released | {act.attempt_id}
     if old.attempt_id != act.attempt_id or old.outcome:
         return old._replace(released=released)
-    return _NOBODY._replace(released=released)
+    return _UNCLAIMED._replace(released=released)
 
 
-def _finish(old: _Holding, act: Act) -> _Holding:
+def _finish(old: _KeyState, act: Act) -> _KeyState:
     if old.attempt_id != act.attempt_id or old.outcome:
         return old
     return old._replace(outcome=act.outcome)
 
 
-_STEPS = {CLAIM: _claim, RELEASE: _release, FINISH: _finish}
+_TRANSITIONS = {CLAIM: _claim, RELEASE: _release, FINISH: _finish}
 
 
 def stream_of(key: ClaimKey) -> str:
-    """Give the stream of the log on which a key is claimed."""
+    """Return the name of the log stream on which a key is claimed."""
     text = f'{key.customer}\0{key.key}'
     digest = blake3.blake3(text.encode()).digest(4)
     return f'claims-{int.from_bytes(digest) % STREAMS}'
@@ -166,7 +168,7 @@
 def outside_window(
     key: str, issued_at: float, now_unix: float
 ) -> OutsideWindow | None:
-    """Tell an entry whether a key that a caller sends is too old or new."""
+    """Return why a key is refused for its age, None if it is valid."""
     if now_unix - issued_at > WINDOW_S:
         text = f'Idempotency-Key {key!r} is older than {WINDOW_S:g} s'
         return OutsideWindow(text)
@@ -177,7 +179,7 @@
 
 
 def encode_batch(acts: list[Act]) -> str:
-    """Give the log record that holds some acts in their order."""
+    """Return the log record of these acts, in their order."""
     return json.dumps(
         {'v': FORMAT, 'acts': [_to_json(act) for act in acts]},
         separators=(',', ':'),
@@ -185,10 +187,10 @@
 
 
 def decode_batch(data: str) -> list[Act]:
-    """Give the acts of a record, none for one that can't be read.
+    """Return the acts of a record, none for one that can't be parsed.
 
-    A record of a newer format must not stop the reading of those after it;
-    its writer knows that older processes pass over it.
+    A record in a newer format must not block the records after it; writers
+    of such a format know that older processes skip it.
     """
     try:
         document = json.loads(data)
@@ -200,7 +202,7 @@
 
 
 def encode_outcome(outcome: Answered | Unknown) -> str:
-    """Give the form in which an outcome is recorded."""
+    """Return an outcome in the form in which it is recorded."""
     if isinstance(outcome, Unknown):
         document: dict[str, Any] = {'unknown': outcome.reason}
     elif len(outcome.body) > MAX_RECORDED_BYTES:
@@ -218,7 +220,7 @@
 
 
 def decode_outcome(text: str) -> Answered | Unknown:
-    """Give a recorded outcome as a resend gets it."""
+    """Return a recorded outcome as a resend receives it."""
     document = json.loads(text)
     if 'unknown' in document:
         return Unknown(document['unknown'], 409)
@@ -246,12 +248,12 @@
 def _from_json(item: list[str]) -> Act:
     name, customer, key, attempt_id, request_digest, outcome = item
     if name not in ACTS or not all(isinstance(text, str) for text in item):
-        raise ValueError(f'{name!r} is no act')
+        raise ValueError(f'{name!r} is not a known act')
     if outcome:
         decode_outcome(outcome)
-    found = ClaimKey(customer, key)
-    _age(found, 0.0)
-    return Act(name, found, attempt_id, request_digest, outcome)
+    claim_key = ClaimKey(customer, key)
+    _age(claim_key, 0.0)
+    return Act(name, claim_key, attempt_id, request_digest, outcome)
 
 
 def _age(key: ClaimKey, now_unix: float) -> float:
--- a/packages/burdockchute/tests/decisions/test_claims.py
+++ b/packages/burdockchute/tests/decisions/test_claims.py
@@ -1,4 +1,4 @@
-"""The protocol of claims: at most one run for each key."""
+"""Tests of the claim protocol: a key runs at most once."""
 
 from __future__ import annotations
 
@@ -64,10 +64,10 @@
         self.assertEqual(Won('b'), self.claim('b'))
         self.assertEqual(Held(), self.claim('a'))
 
-    def test_claim_that_lands_after_its_release_counts_for_nothing(self):
-        # The append of a claim is thought lost, the caller told "not run"
-        # and the claim released; then it turns up after all. It must not
-        # hold the key, since nobody is left to run it.
+    def test_claim_appended_after_its_release_has_no_effect(self):
+        # The append of a claim is taken for lost, the caller is answered
+        # "not run" and the claim is released; then the append completes. The
+        # claim must not hold the key, as no attempt is left to run.
         self.table.apply(act(claims.RELEASE, 'a'), 1000.0)
         self.assertEqual(Held(), self.claim('a'))
         self.assertEqual(Won('b'), self.claim('b'))
@@ -91,7 +91,7 @@
             found = claims.outside_window('k', 5000.0 - age, 5000.0)
             self.assertEqual(bool(refused), found is not None, age)
 
-    def test_records_that_can_not_be_read_are_passed_over(self):
+    def test_unreadable_records_are_skipped(self):
         acts = [act(claims.CLAIM, 'a')]
         self.assertEqual(acts, claims.decode_batch(claims.encode_batch(acts)))
         for data in (
@@ -114,16 +114,16 @@
 class Attempt:
     def __init__(self, key) -> None:
         self.key = key
-        self.given_up = False
+        self.abandoned = False
         self.ran = False
         self.decided = False
 
 
 class ClaimMachine(stateful.RuleBasedStateMachine):
-    """Entries, two gatherers and a log in which anything gets lost.
+    """Entries, two claim collectors and a log that loses any message.
 
-    An attempt is handed on only after a verdict that it has won, and never
-    after it was given up. Whatever else happens, one key runs once.
+    An attempt runs only after the verdict that it has won, and never after
+    it was abandoned. In every sequence of events each key runs at most once.
     """
 
     def __init__(self) -> None:
@@ -141,9 +141,9 @@
     @stateful.rule(
         data=st.data(),
         is_new=st.sampled_from([False, False, False, True]),
-        lands=st.sampled_from([True, True, True, False]),
+        is_appended=st.sampled_from([True, True, True, False]),
     )
-    def arrive(self, data, is_new, lands):
+    def arrive(self, data, is_new, is_appended):
         known = sorted({a.key for a in self.attempts.values()})
         if is_new or not known:
             key = f'{int(self.now)}-x'
@@ -154,14 +154,14 @@
             return
         name = f'a{len(self.attempts)}'
         self.attempts[name] = Attempt(key)
-        if lands:
-            self.log.append([self.act_of(claims.CLAIM, name)])
+        if is_appended:
+            self.log.append([self.make_act(claims.CLAIM, name)])
 
     @stateful.precondition(lambda self: self.attempts)
     @stateful.rule(data=st.data())
-    def claim_lands_late_or_again(self, data):
+    def claim_is_appended_late_or_again(self, data):
         names = data.draw(st.lists(self.names(), min_size=1, max_size=3))
-        self.log.append([self.act_of(claims.CLAIM, name) for name in names])
+        self.log.append([self.make_act(claims.CLAIM, name) for name in names])
 
     @stateful.rule(
         which=st.integers(0, 1),
@@ -169,7 +169,7 @@
         replies_arrive=st.sampled_from([True, True, False]),
         certainly_not_run=st.sampled_from([False, False, True]),
     )
-    def gatherer_reads(self, which, count, replies_arrive, certainly_not_run):
+    def collector_reads(self, which, count, replies_arrive, certainly_not_run):
         start = self.offsets[which]
         table = self.readers[which]
         for act in itertools.chain(*self.log[start : start + count]):
@@ -178,49 +178,49 @@
                 continue
             verdict = table.verdict(act, self.now)
             if replies_arrive:
-                self.decide(act.attempt_id, verdict, certainly_not_run)
+                self.on_verdict(act.attempt_id, verdict, certainly_not_run)
             else:
                 self.verdicts.append((act.attempt_id, verdict))
         self.offsets[which] = min(len(self.log), start + count)
 
     @stateful.rule(which=st.integers(0, 1))
-    def gatherer_restarts(self, which):
+    def collector_restarts(self, which):
         self.readers[which] = ClaimTable()
         self.offsets[which] = 0
 
     @stateful.rule(which=st.integers(0, 1))
-    def gatherer_forgets(self, which):
+    def collector_forgets(self, which):
         self.readers[which].forget(self.now)
 
     @stateful.precondition(lambda self: self.verdicts)
     @stateful.rule(data=st.data())
     def verdict_arrives_late(self, data):
         at = data.draw(st.integers(0, len(self.verdicts) - 1))
-        self.decide(*self.verdicts[at], certainly_not_run=False)
+        self.on_verdict(*self.verdicts[at], certainly_not_run=False)
 
     @stateful.precondition(lambda self: self.attempts)
     @stateful.rule(data=st.data())
-    def entry_gives_up(self, data):
+    def entry_abandons(self, data):
         attempt = self.attempts[data.draw(self.names())]
         if not attempt.ran:
-            attempt.given_up = True
+            attempt.abandoned = True
 
     @stateful.precondition(
-        lambda self: any(a.given_up for a in self.attempts.values())
+        lambda self: any(a.abandoned for a in self.attempts.values())
     )
     @stateful.rule(data=st.data())
-    def release_lands(self, data):
-        given_up = [n for n, a in self.attempts.items() if a.given_up]
-        name = data.draw(st.sampled_from(given_up))
-        self.log.append([self.act_of(claims.RELEASE, name)])
+    def release_is_appended(self, data):
+        abandoned = [n for n, a in self.attempts.items() if a.abandoned]
+        name = data.draw(st.sampled_from(abandoned))
+        self.log.append([self.make_act(claims.RELEASE, name)])
 
     @stateful.precondition(
         lambda self: any(a.ran for a in self.attempts.values())
     )
     @stateful.rule(data=st.data())
-    def finish_lands(self, data):
+    def finish_is_appended(self, data):
         ran = [n for n, a in self.attempts.items() if a.ran]
-        act = self.act_of(claims.FINISH, data.draw(st.sampled_from(ran)))
+        act = self.make_act(claims.FINISH, data.draw(st.sampled_from(ran)))
         outcome = claims.encode_outcome(ANSWER)
         self.log.append([act._replace(outcome=outcome)])
 
@@ -233,16 +233,16 @@
         ran = [a.key for a in self.attempts.values() if a.ran]
         assert len(ran) == len(set(ran))
 
-    def decide(self, name, verdict, certainly_not_run):
+    def on_verdict(self, name, verdict, certainly_not_run):
         attempt = self.attempts[name]
-        if attempt.decided or attempt.given_up:
+        if attempt.decided or attempt.abandoned:
             return
         attempt.decided = True
         if isinstance(verdict, Won):
-            attempt.given_up = certainly_not_run
+            attempt.abandoned = certainly_not_run
             attempt.ran = not certainly_not_run
 
-    def act_of(self, name, attempt_id):
+    def make_act(self, name, attempt_id):
         key = ClaimKey('c', self.attempts[attempt_id].key)
         return Act(name, key, attempt_id, 'f')
 
