--- a/packages/burdockchute/burdockchute/decisions/flow_control.py
+++ b/packages/burdockchute/burdockchute/decisions/flow_control.py
@@ -1,42 +1,44 @@
-"""How much of a large message may be under way on one link.
+"""Flow control of large messages on one link.
 
-Load: a link narrows while several peers send chunks over it. What they have
-sent by then stands before it, and requests, their cancellation and the end
-of a version stand behind that. So a sender has few fragments out that the
-receiver has not acknowledged, and pauses while they take long to arrive.
+The bandwidth of a link may drop while several peers send chunks over it.
+What they have sent until then queues before the bottleneck, and requests,
+cancellations and news of a version's end queue behind that. A sender
+therefore has few unacknowledged fragments, and pauses while they take long
+to arrive.
 
-After LEDBAT (RFC 6817), which gives way once its own packets are delayed.
+After LEDBAT (RFC 6817), which reduces its rate once its own packets are
+delayed.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-# Enough for a link of 10 Mbit/s at the delay between two regions.
+# Fills a link of 10 Mbit/s at the delay between two regions.
 WINDOW_FRAGMENTS = 2
 
-# A fragment that takes longer stands in a queue. 64 KiB, what four senders
-# have out, pass a link of 4.7 Mbit/s in 0.11 s.
+# A fragment that takes longer is queued on the way. 64 KiB, what four senders
+# have unacknowledged, pass a link of 4.7 Mbit/s in 0.11 s.
 TARGET_DELAY_S = 0.12
 
-# No pause is longer: a link that was cut for a moment is used again.
+# Bounds the pause, so that a link is used again soon after a short cut.
 MAX_PAUSE_S = 0.5
 
 
 class FlowState(NamedTuple):
-    """When each fragment that is out was sent, and until when to pause."""
+    """Send times of the unacknowledged fragments, and the end of a pause."""
 
     unacknowledged: tuple[float, ...] = ()
     pause_until: float = 0.0
 
 
 def sent(flow: FlowState, now: float) -> FlowState:
-    """Give the flow after one more fragment was sent."""
+    """Return the state after one more fragment was sent."""
     return flow._replace(unacknowledged=(*flow.unacknowledged, now))
 
 
 def acknowledged(flow: FlowState, now: float) -> FlowState:
-    """Give the flow after the oldest fragment was acknowledged.
+    """Return the state after the oldest fragment was acknowledged.
 
     >>> acknowledged(FlowState(unacknowledged=(5.0,)), 5.05)
     FlowState(unacknowledged=(), pause_until=0.0)
@@ -53,7 +55,7 @@
 
 
 def is_slow(flow: FlowState, now: float) -> bool:
-    """Tell whether the link takes less than it is sent.
+    """Whether fragments are delayed beyond the target, or sending pauses.
 
     >>> flow = FlowState(unacknowledged=(5.0,))
     >>> is_slow(flow, 5.1), is_slow(flow, 5.2)
@@ -67,9 +69,9 @@
 
 
 def wait_s(flow: FlowState, now: float) -> float | None:
-    """Give how long until a fragment may be sent.
+    """Return the seconds until a fragment may be sent.
 
-    None until one is acknowledged.
+    None if an acknowledgement has to come first.
 
     >>> wait_s(FlowState(unacknowledged=(5.0,)), 5.1)
     0.0
