--- a/packages/burdockchute/burdockchute/decisions/listing.py
+++ b/packages/burdockchute/burdockchute/decisions/listing.py
@@ -1,30 +1,32 @@
-"""Which upstreams the platform's list names, through its outages.
-
-Load: upstreams write to the list each second or so and lapse when they fall
-silent. When the list's store comes back after an outage, all of them have
-lapsed, although nearly all are well; for about two seconds they return one
-by one. Taking the list at its word would leave no upstream for that time,
-and every request would be refused. Never dropping a lapsed one would send
-requests to the dead.
-
-So what had lapsed when the store returned is kept for SETTLE_S, and dropped
-if it has not come back by then. What lapses later than LAPSE_S after the
-return has left since, and is dropped at once, as in calm times.
-
-An upstream that restarts may keep its id. A record of an earlier start that
-arrives late must not bring back what that start held, so records go by the
-time of start first and by their position after it.
-
-One that restarts under a new id stands at the address of the old one, which
-the list names until it lapses some seconds later. Only one process can serve
-at an address, so whoever was listed there last takes the other's place. After
-a loss of power at all engines half of the requests went to ids that were
-gone, and one in three of two seconds' callers was refused for it.
-
-A store that comes back from a copy shows the list as it was some seconds
-before. Of an upstream that is known it can only tell what never goes back:
-that it leaves, a later start, a later version of weights. One that was seen
-to leave stays gone until the list is read again, SETTLE_S later.
+"""Which upstreams are known from the platform's list, also after its outages.
+
+Upstreams renew their entry in the list each second or so, and it expires
+when they stop. When the list's store returns from an outage, all entries
+have expired, although nearly all upstreams are healthy; they are listed
+again one by one within about two seconds. Following the list strictly would
+leave no upstream for that time, and every request would be refused. Never
+dropping an expired upstream would send requests to dead ones.
+
+So entries that had expired when the store returned are kept for SETTLE_S,
+and dropped if they are not listed again by then. An upstream whose entry
+expires later than LATE_EXPIRY_S after the return has left since, and is
+dropped at once, as without an outage.
+
+An upstream that restarts may keep its id. A late record of an earlier start
+must not restore the state of that start, so records are ordered by the time
+of start first and by their position second.
+
+An upstream that restarts under a new id has the address of the old one,
+which stays in the list until it expires some seconds later. Only one process
+can serve at an address, so the upstream that was listed there last replaces
+the other. Before this rule, after a loss of power at all engines half of the
+requests went to ids that no longer existed, and for two seconds one in three
+callers was refused.
+
+A store that is restored from a copy shows the list of some seconds before.
+Of a known upstream it can only add what never goes back: that it is
+draining, a later start, a later version of weights. An upstream that was
+seen to leave stays dropped until the list is read again, SETTLE_S later.
 """
 
 from __future__ import annotations
@@ -40,17 +42,17 @@
 from burdockchute.model.upstreams import Unlisted
 from burdockchute.model.upstreams import Upstream
 
-# Upstreams are back about two seconds after the return, which is noticed a
-# moment later. A process counts as in touch again three seconds after it, and
-# must have dropped by then whoever left meanwhile.
+# Upstreams are listed again about two seconds after the return, which is
+# noticed a moment later. A process counts as up to date three seconds after
+# the return, and must have dropped by then every upstream that has left.
 SETTLE_S = 2.1
-# The first reading after the return may come before the store has taken out
-# what lapsed.
+# The first read after the return may come before the store has removed the
+# expired entries.
 LATE_EXPIRY_S = 0.3
 
 
 class KnownUpstream(NamedTuple):
-    """One upstream; `expired_at` is set while it is missing from the list."""
+    """A known upstream; `expired_at` is set while the list lacks it."""
 
     upstream: Upstream
     position: Position
@@ -58,7 +60,7 @@
 
 
 class DroppedUpstream(NamedTuple):
-    """An upstream that was dropped, and the last record of it."""
+    """An upstream that was dropped, and the position of its last record."""
 
     upstream: Upstream
     position: Position
@@ -67,9 +69,9 @@
 class UpstreamList(NamedTuple):
     """All known upstreams by id.
 
-    What lapses before `expires_until` is kept to `settles_at`; `gone`
-    remembers who was dropped, `ids_by_endpoint` who was listed last at each
-    address.
+    Entries that expire before `expires_until` are kept until `settles_at`.
+    `gone` holds the dropped upstreams by id, `ids_by_endpoint` the id that
+    was listed last at each address.
     """
 
     known: dict[str, KnownUpstream]
@@ -80,19 +82,19 @@
 
 
 def empty() -> UpstreamList:
-    """Give a list that names nobody."""
+    """Return a list without upstreams."""
     return UpstreamList({}, {})
 
 
 def on_store_return(listed: UpstreamList, now: float) -> UpstreamList:
-    """Note that the store answers again after an outage."""
+    """Return the list after the store has answered again after an outage."""
     return listed._replace(
         settles_at=now + SETTLE_S, expires_until=now + LATE_EXPIRY_S
     )
 
 
 def on_listed(listed: UpstreamList, entry: Listed) -> UpstreamList:
-    """Take in what the list says of an upstream."""
+    """Return the list after an upstream was listed."""
     upstream, position = entry.upstream, entry.position
     old = listed.known.get(upstream.id)
     gone = listed.gone.get(upstream.id)
@@ -100,11 +102,11 @@
         return listed
     if old is not None and not _follows(old, upstream, position):
         return listed
-    rival = _rival(listed, upstream)
-    if rival is not None:
-        if not _follows(rival, upstream, position):
+    previous = _same_address(listed, upstream)
+    if previous is not None:
+        if not _follows(previous, upstream, position):
             return listed
-        listed = _without(listed, rival.upstream.id, rival.position)
+        listed = _without(listed, previous.upstream.id, previous.position)
     return listed._replace(
         known={**listed.known, upstream.id: KnownUpstream(upstream, position)},
         ids_by_endpoint={
@@ -117,7 +119,7 @@
 def on_unlisted(
     listed: UpstreamList, entry: Unlisted, now: float
 ) -> UpstreamList:
-    """Take in that the list no longer names an upstream."""
+    """Return the list after an entry was removed."""
     old = listed.known.get(entry.id)
     if old is None or entry.position < old.position:
         return listed
@@ -130,9 +132,10 @@
 def on_complete_list(
     listed: UpstreamList, names: set[str], position: Position, now: float
 ) -> UpstreamList:
-    """Take in that the list names these ids and no others.
+    """Return the list after a complete read that gave exactly these ids.
 
-    `position` is where it is read on: what stands there comes after it.
+    `position` is where reading continues: the record there is newer than the
+    complete read.
     """
     last_read = position._replace(offset=position.offset - 1)
     for name in [n for n in listed.known if n not in names]:
@@ -147,14 +150,14 @@
     position: Position,
     now: float,
 ) -> UpstreamList:
-    """Take in the whole list of a store that came back from a copy."""
+    """Return the list after a read of a store that was restored."""
     listed = on_store_return(listed, now)
     for entry in entries:
         upstream = entry.upstream
         old = listed.known.get(upstream.id)
         if old is not None and not _started_later(old.upstream, upstream):
             merged = KnownUpstream(
-                _merged(old.upstream, upstream),
+                _merge(old.upstream, upstream),
                 max(old.position, entry.position),
             )
             known = {**listed.known, upstream.id: merged}
@@ -166,21 +169,23 @@
 
 
 def on_tick(listed: UpstreamList, now: float) -> UpstreamList:
-    """Drop those that lapsed and have not come back in time."""
+    """Return the list without expired upstreams whose time is over."""
     if now < listed.settles_at:
         return listed
-    overdue = [
+    expired = [
         (name, known.position)
         for name, known in listed.known.items()
         if known.expired_at is not None
     ]
-    for name, position in overdue:
+    for name, position in expired:
         listed = _without(listed, name, position)
     return listed
 
 
-def _rival(listed: UpstreamList, upstream: Upstream) -> KnownUpstream | None:
-    """Give another upstream that is listed at the same address."""
+def _same_address(
+    listed: UpstreamList, upstream: Upstream
+) -> KnownUpstream | None:
+    """Return another upstream that is listed at the same address, if any."""
     name = listed.ids_by_endpoint.get(upstream.endpoint, upstream.id)
     return listed.known.get(name) if name != upstream.id else None
 
@@ -199,31 +204,31 @@
     return before is not None and after is not None and after > before
 
 
-def _merged(known: Upstream, copied: Upstream) -> Upstream:
-    """Give what is known with what a copy tells that can't be outdated."""
-    if _started_later(copied, known):
+def _merge(known: Upstream, restored: Upstream) -> Upstream:
+    """Return a known upstream with the facts of a copy that never go back."""
+    if _started_later(restored, known):
         return known
     versions = {
-        model: max(version, copied.versions.get(model, version))
+        model: max(version, restored.versions.get(model, version))
         for model, version in known.versions.items()
     }
     return known._replace(
-        draining=known.draining or copied.draining, versions=versions
+        draining=known.draining or restored.draining, versions=versions
     )
 
 
 def _is_newer_than_known(listed: UpstreamList, upstream: Upstream) -> bool:
-    """Tell whether an entry of a copy is of a start not heard of before."""
+    """Whether an entry of a copy shows a start that is not known yet."""
     gone = listed.gone.get(upstream.id)
     if gone is not None and not _started_later(gone.upstream, upstream):
         return False
-    rival = _rival(listed, upstream)
-    return rival is None or _started_later(rival.upstream, upstream)
+    previous = _same_address(listed, upstream)
+    return previous is None or _started_later(previous.upstream, upstream)
 
 
 def _without(
     listed: UpstreamList, name: str, position: Position
 ) -> UpstreamList:
-    left = DroppedUpstream(listed.known[name].upstream, position)
+    dropped = DroppedUpstream(listed.known[name].upstream, position)
     known = {n: k for n, k in listed.known.items() if n != name}
-    return listed._replace(known=known, gone={**listed.gone, name: left})
+    return listed._replace(known=known, gone={**listed.gone, name: dropped})
