--- a/packages/burdockchute/tests/decisions/test_membership.py
+++ b/packages/burdockchute/tests/decisions/test_membership.py
@@ -1,4 +1,4 @@
-"""Who belongs to the system."""
+"""Tests of the membership of instances."""
 
 from __future__ import annotations
 
@@ -21,19 +21,20 @@
     def setUp(self) -> None:
         self.known = membership.on_list(Membership(), FLEET, {}, 0.0)
 
-    def test_list_is_taken(self):
+    def test_list_is_applied(self):
         self.assertEqual(NAMES, names(self.known))
 
-    def test_leaving_is_believed_from_either(self):
-        # An agent tells its links at once that it leaves, the list seconds
-        # later. Work placed on it in between is refused and has to move.
+    def test_leaving_is_taken_from_list_and_links(self):
+        # An agent reports to its links at once that it leaves, and the list
+        # shows it seconds later. Work that is placed on the agent in between
+        # is refused and has to move.
         one, other = FLEET[5], FLEET[6]
-        heard = {
+        link_reports = {
             one.name: LinkReport(one, True),
             other.name: LinkReport(other, False),
         }
         listed = [m._replace(leaving=m.name == other.name) for m in FLEET]
-        state = membership.on_list(self.known, listed, heard, 1.0)
+        state = membership.on_list(self.known, listed, link_reports, 1.0)
         self.assertEqual(
             {one.name, other.name},
             {m.name for m in state.members if m.leaving},
@@ -42,28 +43,30 @@
             [one.name],
             [
                 m.name
-                for m in membership.on_link_reports(self.known, heard).members
+                for m in membership.on_link_reports(
+                    self.known, link_reports
+                ).members
                 if m.leaving
             ],
         )
 
     def test_unlisted_instance_stays_while_its_link_is_alive(self):
         one = FLEET[5]
-        heard = {one.name: LinkReport(one, False)}
+        link_reports = {one.name: LinkReport(one, False)}
         listed = [m for m in FLEET if m.name != one.name]
-        state = membership.on_list(self.known, listed, heard, 1.0)
+        state = membership.on_list(self.known, listed, link_reports, 1.0)
         self.assertEqual(NAMES, names(state))
         state = membership.on_list(state, listed, {}, 2.0)
         self.assertNotIn(one.name, names(state))
 
-    def test_zone_that_goes_is_believed_at_once(self):
+    def test_loss_of_a_zone_is_applied_at_once(self):
         left = [m for m in FLEET if m.place.zone != 'zone-1']
         state = membership.on_list(self.known, left, {}, 1.0)
         self.assertEqual([m.name for m in left], names(state))
 
-    def test_list_that_is_suddenly_empty_has_to_say_so_for_long(self):
-        # The list service restarts and has nothing for some seconds. Every
-        # entry would drop all its links in the same moment.
+    def test_sudden_loss_of_most_members_has_to_persist(self):
+        # The list service restarts and is empty for some seconds. Every
+        # entry would drop all its links at the same moment.
         state = membership.on_list(self.known, [], {}, 10.0)
         self.assertEqual(NAMES, names(state))
         state = membership.on_list(state, FLEET[:3], {}, 39.9)
@@ -75,8 +78,8 @@
         state = membership.on_list(state, FLEET[:3], {}, 40.0)
         self.assertEqual(NAMES[:3], names(state))
 
-    def test_restarts_in_bulk(self):
-        # Half of the agents come back at other ports, one after another.
+    def test_bulk_restart_changes_no_membership(self):
+        # Half of the agents restart with other ports, one after another.
         listed = list(FLEET)
         state = self.known
         for number, member in enumerate(FLEET[:12]):
