--- a/packages/burdockchute/burdockchute/decisions/neighbours.py
+++ b/packages/burdockchute/burdockchute/decisions/neighbours.py
@@ -1,15 +1,17 @@
-"""With whom an agent exchanges chunks.
+"""Choice of the peers with which an agent exchanges chunks.
 
-Load: 2,700 instances want the same weights at the same moment. If each kept
-links to all others, news of one chunk would cost 2,700 messages at each of
-them, and 7 million links in all. So each agent dials a bounded number of
-others, most of them near. The choice is a rendezvous hash of the pair: it
-needs no coordinator, stays the same while others come and go, and gives a
-random graph, whose diameter grows with the logarithm of its size.
+2,700 instances fetch the same weights at the same moment. Links between all
+of them would be 7 million connections, and the announcement of one chunk
+would cost each instance 2,700 messages. So each agent dials a bounded number
+of others, most of them near. They are chosen by a rendezvous hash of the
+pair: it needs no coordinator, does not change while others are added or
+removed, and gives a random graph, whose diameter grows with the logarithm of
+its size.
 
-NEAR and REGION peers keep copies inside zone and region; FAR peers join the
-parts. An agent is dialled by as many as it dials, on average, so it has
-about 16 links. With FAR under 2 a few small zones could fall off the rest.
+ZONE_PEERS and REGION_PEERS keep copying inside zone and region, REMOTE_PEERS
+connect the regions. On average an agent is dialled by as many peers as it
+dials, so it has about 16 links. With REMOTE_PEERS under 2 a few small zones
+could be disconnected from the others.
 """
 
 from __future__ import annotations
@@ -21,9 +23,9 @@
 from burdockchute.model.members import Member
 from burdockchute.model.members import Place
 
-NEAR = 4
-REGION = 2
-FAR = 2
+ZONE_PEERS = 4
+REGION_PEERS = 2
+REMOTE_PEERS = 2
 
 SAME_ZONE = 0
 SAME_REGION = 1
@@ -31,7 +33,7 @@
 
 
 def distance(own: Place, other: Place) -> int:
-    """Give SAME_ZONE, SAME_REGION or ELSEWHERE."""
+    """Return SAME_ZONE, SAME_REGION or OTHER_REGION."""
     if own.region != other.region:
         return OTHER_REGION
     return SAME_ZONE if own.zone == other.zone else SAME_REGION
@@ -40,30 +42,35 @@
 def neighbours(
     key: str, own: Member, hosts: Sequence[Member]
 ) -> tuple[str, ...]:
-    """Give the names of those that an agent dials for a row.
+    """Return the names of the instances that an agent dials for a row.
 
-    `hosts` are all that host the row; the own instance is left out. Slots
-    that a near sort can't fill go to the next one.
+    `key` identifies the row and `hosts` are all instances that host it; the
+    own instance is left out. Where a distance has too few instances, the
+    next distance makes up for them.
     """
-    sorts: list[list[str]] = [[], [], []]
+    by_distance: list[list[str]] = [[], [], []]
     for host in hosts:
         if host.name != own.name:
-            sorts[distance(own.place, host.place)].append(host.name)
+            by_distance[distance(own.place, host.place)].append(host.name)
     chosen: list[str] = []
-    spare = 0
-    for names, count in zip(sorts, (NEAR, REGION, FAR), strict=True):
-        wanted = count + spare
-        taken = ranked(f'{key}\0{own.name}', names)[:wanted]
-        spare = wanted - len(taken)
-        chosen.extend(taken)
-    if spare:
-        rest = _left_out(sorts, chosen)
-        chosen.extend(ranked(f'{key}\0{own.name}', rest)[:spare])
+    shortfall = 0
+    for names, count in zip(
+        by_distance, (ZONE_PEERS, REGION_PEERS, REMOTE_PEERS), strict=True
+    ):
+        wanted = count + shortfall
+        nearest = ranked(f'{key}\0{own.name}', names)[:wanted]
+        shortfall = wanted - len(nearest)
+        chosen.extend(nearest)
+    if shortfall:
+        remaining = _not_chosen(by_distance, chosen)
+        chosen.extend(ranked(f'{key}\0{own.name}', remaining)[:shortfall])
     return tuple(chosen)
 
 
-def _left_out(
-    sorts: Iterable[Sequence[str]], chosen: Sequence[str]
+def _not_chosen(
+    by_distance: Iterable[Sequence[str]], chosen: Sequence[str]
 ) -> list[str]:
     known = set(chosen)
-    return [name for names in sorts for name in names if name not in known]
+    return [
+        name for names in by_distance for name in names if name not in known
+    ]
--- a/packages/burdockchute/burdockchute/decisions/pacing.py
+++ b/packages/burdockchute/burdockchute/decisions/pacing.py
@@ -1,19 +1,22 @@
-"""Which instances may load a new version now.
-
-Load: a copy ends on all replicas of a row at about the same moment. If all
-of them loaded at once, the model would be away, or slow, everywhere for as
-long as a load takes. The row says which share may load at a time.
-
-Nobody coordinates. The replicas have an order (a rendezvous hash of row and
-digest) that everyone computes alike. With S replicas allowed at a time, the
-first S load at once, and the one at position p waits until the one at p - S
-has the version open. So there are S lanes, and each agent watches one other.
-
-One that never opens would hold up its lane: it was killed, its copy is late
-or its engine fails. So an agent goes on once it has waited OVERDUE_S with its
-copy whole, or as soon as the one before is known to be gone. An overdue one
-that comes back may then load along with its successor; the share is passed
-by at most the number of those overdue.
+"""Pacing of a rollout: which instances may load a new version now.
+
+The copy of a version completes on all replicas of a row at about the same
+moment. If all of them loaded at once, the model would be unavailable, or
+slow, everywhere for the duration of a load. The row sets which share of the
+replicas may load at a time.
+
+There is no coordinator. The replicas have an order (a rendezvous hash of row
+and digest) that every agent computes alike. With S replicas allowed at a
+time, the first S load at once, and the one at position p waits until its
+predecessor at p - S serves the version. This gives S independent sequences,
+and each agent watches one other.
+
+A predecessor that never serves would block its sequence: it was killed, its
+copy is late or its engine fails. So an agent proceeds once it has waited
+PREDECESSOR_TIMEOUT_S with a complete copy, or as soon as the predecessor is
+known to be gone. A predecessor that recovers after that may load together
+with its successor; the share is exceeded by at most the number of
+predecessors that timed out.
 """
 
 from __future__ import annotations
@@ -24,16 +27,16 @@
 
 from burdockchute.decisions.hosting import ranked
 
-# Longer than an engine takes to load from the process beside it, shorter
-# than the minutes in which a rollout is to end.
+# Longer than an engine takes to load from its agent, shorter than the minutes
+# in which a rollout has to complete.
 PREDECESSOR_TIMEOUT_S = 10.0
 
 
 class Predecessor(NamedTuple):
-    """What is known of the agent whose turn comes before ours.
+    """What is known of the agent that loads before this one.
 
-    `is_open` tells that it serves the version, `gone` that no link to it can
-    be had.
+    `is_open` is whether it serves the version, `gone` whether no link to it
+    can be established.
     """
 
     is_open: bool
@@ -41,7 +44,7 @@
 
 
 def max_concurrent_loads(share: float, replicas: int) -> int:
-    """Give how many replicas may load at once, at least one.
+    """Return how many replicas may load at once, at least one.
 
     >>> max_concurrent_loads(0.25, 100), max_concurrent_loads(0.25, 3)
     (25, 1)
@@ -54,7 +57,7 @@
 def predecessor(
     key: str, name: str, hosts: Sequence[str], share: float
 ) -> str | None:
-    """Give whose turn comes before, None for the first of each lane."""
+    """Return the name of the predecessor, None if it need not wait for one."""
     order = ranked(key, hosts)
     if name not in order:
         return None
@@ -68,7 +71,7 @@
     complete_since: float,
     now: float,
 ) -> bool:
-    """Tell whether it is our turn; `complete_since` is when our copy ended."""
+    """Whether this agent may load; its copy completed at `complete_since`."""
     if watched is None or known.is_open or known.gone:
         return True
     return now - complete_since > PREDECESSOR_TIMEOUT_S
