--- a/packages/burdockchute-agent/burdockchute_agent/announcements.py
+++ b/packages/burdockchute-agent/burdockchute_agent/announcements.py
@@ -9,27 +9,27 @@
 from burdockchute.wire import messages
 
 # News of chunks is gathered for so long, to send one message for many.
-GATHER_S = 0.02
+BATCH_S = 0.02
 
 
 class Announcements:
     """Digests whose state has changed since peers were last told."""
 
     def __init__(self, now: float) -> None:
-        self._told_at = now
-        self._chunks: set[str] = set()
-        self._phases: set[str] = set()
+        self._sent_at = now
+        self._new_chunks: set[str] = set()
+        self._new_phases: set[str] = set()
         self._phase_of: dict[str, tuple[bool, bool]] = {}
 
-    def chunk(self, digest: str) -> None:
+    def chunk_added(self, digest: str) -> None:
         """Note that a chunk has come; peers with a whole copy don't care."""
-        self._chunks.add(digest)
+        self._new_chunks.add(digest)
 
-    def phase(self, digest: str, loading: bool, is_open: bool) -> None:
+    def set_phase(self, digest: str, loading: bool, is_open: bool) -> None:
         """Note whether the engine loads or serves a digest."""
         if self._phase_of.get(digest) != (loading, is_open):
             self._phase_of[digest] = (loading, is_open)
-            self._phases.add(digest)
+            self._new_phases.add(digest)
 
     def phase_of(self, digest: str) -> tuple[bool, bool]:
         """Give whether the engine loads and whether it serves a digest."""
@@ -37,31 +37,31 @@
 
     def forget(self, digest: str) -> None:
         """Drop all about weights that are given up."""
-        self._chunks.discard(digest)
-        self._phases.discard(digest)
+        self._new_chunks.discard(digest)
+        self._new_phases.discard(digest)
         self._phase_of.pop(digest, None)
 
-    def tell(
+    def send_due(
         self,
         peers: Iterable[PeerLink],
         have: Callable[[str], messages.Have],
         now: float,
     ) -> float | None:
         """Send what is due; gives when to come back, None for no news."""
-        changed = self._chunks | self._phases
+        changed = self._new_chunks | self._new_phases
         if not changed:
             return None
-        if now - self._told_at < GATHER_S:
-            return GATHER_S
-        self._told_at = now
-        told = list(peers)
+        if now - self._sent_at < BATCH_S:
+            return BATCH_S
+        self._sent_at = now
+        receivers = list(peers)
         for digest in changed:
             message = have(digest)
-            for peer in told:
+            for peer in receivers:
                 known = peer.haves.get(digest)
-                is_whole = known is not None and not known.wants
-                if digest in self._phases or not is_whole:
+                is_complete = known is not None and not known.wants
+                if digest in self._new_phases or not is_complete:
                     peer.send(message)
-        self._chunks.clear()
-        self._phases.clear()
+        self._new_chunks.clear()
+        self._new_phases.clear()
         return None
--- a/packages/burdockchute-agent/burdockchute_agent/bandwidth.py
+++ b/packages/burdockchute-agent/burdockchute_agent/bandwidth.py
@@ -44,11 +44,11 @@
         self._down = copy_rates.take(self._down, -size)
 
     @property
-    def may_send(self) -> bool:
+    def can_send(self) -> bool:
         """Whether the uplink has anything left."""
         return self._up.level > 0
 
-    def sent(self, size: int) -> None:
+    def consume_uplink(self, size: int) -> None:
         """Take bytes of the uplink."""
         self._up = copy_rates.take(self._up, size)
 
@@ -62,14 +62,14 @@
         """Bytes per second that copies may receive now."""
         return copy_rates.max_copy_rate(self._downlink, self._live.rate)
 
-    def pace(self, size: int, now: float) -> float:
+    def reserve_uplink(self, size: int, now: float) -> float:
         """Take bytes of the uplink, or give how long until they are there."""
         self._up = copy_rates.refill(
             self._up, self.send_rate, now, copy_rates.PACED_BURST_S
         )
         if self._up.level <= 0:
             return self.send_wait_s()
-        self.sent(size)
+        self.consume_uplink(size)
         return 0.0
 
     def send_wait_s(self) -> float:
--- a/packages/burdockchute-agent/burdockchute_agent/cache_changes.py
+++ b/packages/burdockchute-agent/burdockchute_agent/cache_changes.py
@@ -34,7 +34,7 @@
     def __init__(self) -> None:
         self._stored: dict[str, None] = {}
         self._evicted: dict[str, None] = {}
-        self._told_at = float('-inf')
+        self._reported_at = float('-inf')
 
     def stored(self, prefix: str) -> None:
         """Note that the cache holds a prefix."""
@@ -51,22 +51,24 @@
 
     def take(self, now: float) -> CacheChanges:
         """Give the news if it is time to tell, and forget them."""
-        if now < self._told_at + REPORT_INTERVAL_S:
+        if now < self._reported_at + REPORT_INTERVAL_S:
             return NO_CACHE_CHANGES
-        self._told_at = now
-        news = CacheChanges(_newest(self._stored), _newest(self._evicted))
+        self._reported_at = now
+        changes = CacheChanges(
+            _newest_first(self._stored), _newest_first(self._evicted)
+        )
         self.clear()
-        return news
+        return changes
 
 
-def _move(prefix: str, gone: dict[str, None], come: dict[str, None]) -> None:
+def _move(prefix: str, old: dict[str, None], new: dict[str, None]) -> None:
     short = prefix[:PREFIX_HEX]
-    gone.pop(short, None)
-    come.pop(short, None)
-    come[short] = None
-    if len(come) > MAX_REPORTED_PREFIXES:
-        del come[next(iter(come))]
+    old.pop(short, None)
+    new.pop(short, None)
+    new[short] = None
+    if len(new) > MAX_REPORTED_PREFIXES:
+        del new[next(iter(new))]
 
 
-def _newest(prefixes: Iterable[str]) -> list[str]:
+def _newest_first(prefixes: Iterable[str]) -> list[str]:
     return list(reversed(list(prefixes)))
--- a/packages/burdockchute-agent/burdockchute_agent/chunk_receiver.py
+++ b/packages/burdockchute-agent/burdockchute_agent/chunk_receiver.py
@@ -17,7 +17,7 @@
 from burdockchute_agent.bandwidth import Bandwidth
 from burdockchute_agent.chunk_sender import ChunkSender
 from burdockchute_agent.copier import Copier
-from burdockchute_agent.copier import SOURCES
+from burdockchute_agent.copier import SOURCE_NAMES
 from burdockchute_agent.corruption import CorruptChunkCounts
 from burdockchute_agent.events import OriginRead
 from burdockchute_agent.origin_schedule import MANIFEST_INDEX
@@ -33,16 +33,16 @@
         links: Mapping[str, PeerLink],
         parse: Callable[[bytes, str], Result],
         bandwidth: Bandwidth,
-        serving: ChunkSender,
-        news: Announcements,
+        sender: ChunkSender,
+        announcements: Announcements,
         metrics: WeightsMetrics,
     ) -> None:
         self._copiers = copiers
         self._links = links
         self._parse = parse
         self._bandwidth = bandwidth
-        self._serving = serving
-        self._news = news
+        self._sender = sender
+        self._announcements = announcements
         self._metrics = metrics
         self._corruption = CorruptChunkCounts()
 
@@ -50,13 +50,15 @@
         """Tell whether a peer has sent too much that was corrupt."""
         return self._corruption.is_banned(peer)
 
-    def received(self, peer: PeerLink, message: object, now: float) -> None:
+    def handle_message(
+        self, peer: PeerLink, message: object, now: float
+    ) -> None:
         """Take a message of a peer about copies."""
         match message:
             case messages.Have():
                 self._have_came(peer, message, now)
             case messages.ChunkRequest():
-                self._serving.handle_request(peer, message)
+                self._sender.handle_request(peer, message)
             case messages.Chunk():
                 self._chunk_came(peer, message, now)
 
@@ -88,12 +90,12 @@
         elif copier.complete:
             copier.chunk_received(peer.name, chunk.index, chunk.data, now)
         elif copier.chunk_received(peer.name, chunk.index, chunk.data, now):
-            source = SOURCES[peer.distance]
+            source = SOURCE_NAMES[peer.distance]
             self._metrics.received(source, len(chunk.data))
-            self._news.chunk(chunk.digest)
-            self.tell_whole(copier)
+            self._announcements.chunk_added(chunk.digest)
+            self.log_if_complete(copier)
         else:
-            self._corrupt_from(peer, chunk.digest, chunk.index)
+            self._record_corrupt_chunk(peer, chunk.digest, chunk.index)
 
     def _manifest_came(
         self, copier: Copier, peer: PeerLink, data: bytes, now: float
@@ -103,9 +105,9 @@
             copier.request_refused(
                 peer.name, MANIFEST_INDEX, sources.MIN_AVOID_S, now
             )
-            self._corrupt_from(peer, copier.digest, MANIFEST_INDEX)
+            self._record_corrupt_chunk(peer, copier.digest, MANIFEST_INDEX)
         else:
-            self._have_manifest(copier, manifest, now)
+            self._store_manifest(copier, manifest, now)
 
     def manifest_read(self, digest: str, outcome: object, now: float) -> None:
         """Take what a read of a manifest from the origin has given."""
@@ -113,28 +115,28 @@
         if copier is None:
             return
         if isinstance(outcome, Manifest):
-            self._have_manifest(copier, outcome, now)
+            self._store_manifest(copier, outcome, now)
         else:
             copier.origin_read_failed(MANIFEST_INDEX, now)
             self._metrics.failed('origin_read_failed')
             warn('origin_read_failed', digest=digest, reason=outcome)
 
-    def _have_manifest(
+    def _store_manifest(
         self, copier: Copier, manifest: Manifest, now: float
     ) -> None:
         copier.manifest_received(manifest, now)
-        self._news.chunk(copier.digest)
+        self._announcements.chunk_added(copier.digest)
         # What peers hold could not be read without the number of chunks.
-        self.take_kept(copier, now)
+        self.apply_stored_haves(copier, now)
 
-    def take_kept(self, copier: Copier, now: float) -> None:
+    def apply_stored_haves(self, copier: Copier, now: float) -> None:
         """Hand a copier what peers have said of its digest before."""
         for peer in self._links.values():
             have = peer.haves.get(copier.digest)
             if have is not None and not self._corruption.is_banned(peer):
                 copier.have_received(peer.name, peer.distance, have, now)
 
-    def chunk_read(self, read: OriginRead, now: float) -> None:
+    def origin_chunk_read(self, read: OriginRead, now: float) -> None:
         """Take what a read of a chunk from the origin has given."""
         copier = self._copiers.get(read.digest)
         if copier is None:
@@ -152,14 +154,16 @@
             return
         elif copier.origin_chunk_received(read.chunk, read.outcome, now):
             self._metrics.received('origin', len(read.outcome))
-            self._news.chunk(read.digest)
-            self.tell_whole(copier)
+            self._announcements.chunk_added(read.digest)
+            self.log_if_complete(copier)
         else:
             self._metrics.failed('origin_chunk_corrupt')
             warn('origin_chunk_corrupt', digest=read.digest, chunk=read.chunk)
 
-    def _corrupt_from(self, peer: PeerLink, digest: str, index: int) -> None:
-        count = self._corruption.note(peer)
+    def _record_corrupt_chunk(
+        self, peer: PeerLink, digest: str, index: int
+    ) -> None:
+        count = self._corruption.record(peer)
         self._metrics.failed('peer_chunk_corrupt')
         warn(
             'peer_chunk_corrupt',
@@ -175,7 +179,7 @@
             for copier in self._copiers.values():
                 copier.peer_disconnected(peer.name)
 
-    def tell_whole(self, copier: Copier) -> None:
+    def log_if_complete(self, copier: Copier) -> None:
         """Write a line if a copy has become whole."""
         if copier.complete:
             event(
--- a/packages/burdockchute-agent/burdockchute_agent/chunk_requests.py
+++ b/packages/burdockchute-agent/burdockchute_agent/chunk_requests.py
@@ -6,18 +6,20 @@
 from typing import NamedTuple
 
 
-class ChunkRequestSent(NamedTuple):
+class SentRequest(NamedTuple):
     """One request that is on its way."""
 
     peer: str
-    at: float
+    sent_at: float
 
 
 class PeerCopy:
     """What is known of one peer's copy of some weights.
 
-    `held` is a bitmap of chunks, `load` its queue of uploads, `asked` how
-    many requests of ours it has.
+    `held` is a bitmap of chunks, `load` the length of the peer's upload
+    queue, `pending_requests` the number of our requests that it has not
+    answered. A peer is asked nothing before `avoid_until` (monotonic
+    seconds).
     """
 
     def __init__(self, distance: int) -> None:
@@ -25,8 +27,8 @@
         self.held = 0
         self.load = 0
         self.has_manifest = False
-        self.asked = 0
-        self.strikes = 0
+        self.pending_requests = 0
+        self.missed_deadlines = 0
         self.avoid_until = 0.0
 
 
@@ -34,7 +36,7 @@
     """Requests on their way, by chunk; a chunk may be asked for twice."""
 
     def __init__(self) -> None:
-        self._by_chunk: dict[int, list[ChunkRequestSent]] = {}
+        self._by_chunk: dict[int, list[SentRequest]] = {}
 
     def __len__(self) -> int:
         return len(self._by_chunk)
@@ -45,36 +47,34 @@
     def __iter__(self) -> Iterator[int]:
         return iter(self._by_chunk)
 
-    def of(self, chunk: int) -> list[ChunkRequestSent]:
+    def for_chunk(self, chunk: int) -> list[SentRequest]:
         """Give the requests for a chunk."""
         return list(self._by_chunk.get(chunk, ()))
 
     def add(self, chunk: int, peer: str, now: float) -> None:
         """Note a request."""
-        self._by_chunk.setdefault(chunk, []).append(
-            ChunkRequestSent(peer, now)
-        )
+        self._by_chunk.setdefault(chunk, []).append(SentRequest(peer, now))
 
-    def remove(self, chunk: int, peer: str) -> ChunkRequestSent | None:
+    def remove(self, chunk: int, peer: str) -> SentRequest | None:
         """Forget a request and give it, None if there was none."""
-        asked = self._by_chunk.get(chunk, [])
-        for ask in asked:
-            if ask.peer == peer:
-                asked.remove(ask)
-                if not asked:
+        requests = self._by_chunk.get(chunk, [])
+        for request in requests:
+            if request.peer == peer:
+                requests.remove(request)
+                if not requests:
                     del self._by_chunk[chunk]
-                return ask
+                return request
         return None
 
-    def forget_chunk(self, chunk: int) -> None:
+    def remove_chunk(self, chunk: int) -> None:
         """Forget all requests for a chunk."""
         self._by_chunk.pop(chunk, None)
 
-    def before(self, at: float) -> list[tuple[int, str]]:
+    def sent_before(self, at: float) -> list[tuple[int, str]]:
         """Give chunk and peer of the requests made before a time."""
         return [
-            (chunk, ask.peer)
-            for chunk, asked in self._by_chunk.items()
-            for ask in asked
-            if ask.at < at
+            (chunk, request.peer)
+            for chunk, requests in self._by_chunk.items()
+            for request in requests
+            if request.sent_at < at
         ]
--- a/packages/burdockchute-agent/burdockchute_agent/chunk_sender.py
+++ b/packages/burdockchute-agent/burdockchute_agent/chunk_sender.py
@@ -16,7 +16,7 @@
 from burdockchute_agent.weights_metrics import WeightsMetrics
 
 # A peer that reads slower than it asks has this much waiting in its link.
-MAX_QUEUED_BYTES = 4 * 1024 * 1024
+MAX_PEER_QUEUE_BYTES = 4 * 1024 * 1024
 RETRY_MS = 1000
 
 # On paced links this much may wait to be written, over all peers: the next
@@ -76,7 +76,7 @@
 
     def _has_room(self, now: float) -> bool:
         if not self._paced:
-            return self._bandwidth.may_send
+            return self._bandwidth.can_send
         # What waits for peers behind slow links holds up no others.
         queued = sum(
             peer.link.queued_bytes
@@ -85,13 +85,13 @@
         )
         return queued < MAX_PACED_QUEUE_BYTES
 
-    def forget_peer(self, name: str) -> None:
+    def remove_peer(self, name: str) -> None:
         """Drop what a peer that is gone has asked for."""
-        self._uploads.forget_peer(name)
+        self._uploads.remove_peer(name)
 
-    def forget_digest(self, digest: str) -> None:
+    def remove_digest(self, digest: str) -> None:
         """Drop and refuse all uploads of weights that are given up."""
-        for upload in self._uploads.forget_digest(digest):
+        for upload in self._uploads.remove_digest(digest):
             peer = self._links.get(upload.peer)
             if peer is not None:
                 peer.send(_refusal(digest, upload.chunk, 'unknown', RETRY_MS))
@@ -102,11 +102,11 @@
         data = copy.chunk(upload.chunk) if copy else None
         if peer is None or data is None:
             return
-        if peer.link.queued_bytes > MAX_QUEUED_BYTES:
+        if peer.link.queued_bytes > MAX_PEER_QUEUE_BYTES:
             peer.send(_refusal(upload.digest, upload.chunk, 'busy', RETRY_MS))
             return
         if not self._paced:
-            self._bandwidth.sent(len(data))
+            self._bandwidth.consume_uplink(len(data))
         self._metrics.sent(len(data))
         peer.send(messages.Chunk(upload.digest, upload.chunk, data, '', 0))
 
--- a/packages/burdockchute-agent/burdockchute_agent/copier.py
+++ b/packages/burdockchute-agent/burdockchute_agent/copier.py
@@ -27,13 +27,13 @@
 from burdockchute_agent.region_imports import RegionImports
 
 # Names of the distances of peers, nearest first.
-SOURCES = ('zone', 'region', 'elsewhere')
+SOURCE_NAMES = ('zone', 'region', 'elsewhere')
 
 # Two requests keep a peer's uplink busy while the next one travels; more
 # would only wait there, while another peer could have sent them.
-ASKED_OF_ONE = 2
-ASKED_IN_ALL = 16
-READS_AT_ONCE = 2
+MAX_REQUESTS_PER_PEER = 2
+MAX_REQUESTS = 16
+MAX_READS = 2
 
 # On paced links, what was asked for of several peers may arrive at once and
 # stand in the queue before this instance's link, and with it the requests
@@ -41,7 +41,7 @@
 # no more than some tenths of a second.
 PACED_MAX_REQUESTS = 4
 PACED_MAX_READS = 1
-ASKED_BESIDE_READS = 1
+MAX_REQUESTS_DURING_READS = 1
 
 
 class RequestChunk(NamedTuple):
@@ -60,7 +60,7 @@
 Action = RequestChunk | ReadOrigin
 
 
-class Received(NamedTuple):
+class ReceivedBytes(NamedTuple):
     """Bytes of chunks by where they came from; `twice` came in vain."""
 
     origin: int = 0
@@ -70,7 +70,7 @@
     twice: int = 0
 
 
-class Standing(NamedTuple):
+class CopyStatus(NamedTuple):
     """How a copy stands, in chunks.
 
     `near` are those that peers of the own region hold, `known` those that any
@@ -96,43 +96,43 @@
         now: float,
     ) -> None:
         self.digest = digest
-        self.origin_schedule = OriginSchedule(rng, now)
-        self.origin_schedule.origin_copies = origin_copies
+        self.schedule = OriginSchedule(rng, now)
+        self.schedule.origin_copies = origin_copies
         self.copy: Copy | None = None
         self.peers: dict[str, PeerCopy] = {}
-        self.whole_at: float | None = None
-        self.received = Received()
+        self.completed_at: float | None = None
+        self.received = ReceivedBytes()
         self.imports = RegionImports()
-        self.max_requests = ASKED_IN_ALL
-        self.max_reads = READS_AT_ONCE
+        self.max_requests = MAX_REQUESTS
+        self.max_reads = MAX_READS
         # Whether the fleet reads few chunks of the origin at a time.
         self.reads_in_order = False
         self._choose = choose
         self._rng = rng
-        self._all = 0
+        self._all_chunks = 0
         self._missing = 0
-        self._near = 0
-        self._holders: list[int] = []
-        self._asked = PendingChunkRequests()
-        self._reading: dict[int, float] = {}
+        self._seen = 0
+        self._holder_counts: list[int] = []
+        self._requests = PendingChunkRequests()
+        self._reads: dict[int, float] = {}
         self._read_s = 0.0
         # When each chunk could first be read, where they are read in order.
-        self._open_since: dict[int, float] = {}
-        self._latency = 0.0
+        self._readable_since: dict[int, float] = {}
+        self._latency_s = 0.0
 
     # What arrives.
 
     def manifest_received(self, manifest: Manifest, now: float) -> None:
         """Take a manifest that was checked against the digest."""
-        self._reading.pop(MANIFEST_INDEX, None)
-        self._asked.forget_chunk(MANIFEST_INDEX)
+        self._reads.pop(MANIFEST_INDEX, None)
+        self._requests.remove_chunk(MANIFEST_INDEX)
         if self.copy is not None:
             return
-        self.origin_schedule.manifest_received(now)
+        self.schedule.manifest_received(now)
         self.copy = Copy(manifest)
         count = len(manifest.chunks)
-        self._all = self._missing = (1 << count) - 1
-        self._holders = [0] * count
+        self._all_chunks = self._missing = (1 << count) - 1
+        self._holder_counts = [0] * count
 
     def have_received(
         self, name: str, distance: int, have: messages.Have, now: float
@@ -142,18 +142,18 @@
         peer.distance = distance
         peer.has_manifest = bool(have.bitmap)
         peer.load = have.uploads
-        held = int.from_bytes(have.bitmap, 'little') & self._all
+        held = int.from_bytes(have.bitmap, 'little') & self._all_chunks
         for chunk in set_bits(held & ~peer.held):
-            self._holders[chunk] += 1
+            self._holder_counts[chunk] += 1
         for chunk in set_bits(peer.held & ~held):
-            self._holders[chunk] -= 1
+            self._holder_counts[chunk] -= 1
         peer.held = held
         if distance == OTHER_REGION:
             self.imports.note_remote_chunks(held & self._missing, now)
-        fresh = held & ~self._near
-        if fresh:
-            self._near |= fresh
-            self.origin_schedule.chunks_found(fresh.bit_count(), now)
+        new = held & ~self._seen
+        if new:
+            self._seen |= new
+            self.schedule.chunks_found(new.bit_count(), now)
 
     def peer_disconnected(self, name: str) -> None:
         """Forget a peer whose link has closed, and what it was asked."""
@@ -161,15 +161,15 @@
         if peer is None:
             return
         for chunk in set_bits(peer.held):
-            self._holders[chunk] -= 1
-        for chunk in list(self._asked):
-            self._unask(chunk, name)
+            self._holder_counts[chunk] -= 1
+        for chunk in list(self._requests):
+            self._remove_request(chunk, name)
 
     def chunk_received(
         self, name: str, chunk: int, data: bytes, now: float
     ) -> bool:
         """Take a chunk from a peer; False if it is corrupt."""
-        at = self._unask(chunk, name)
+        sent_at = self._remove_request(chunk, name)
         if self.copy is None:
             return True
         if self.copy.holds(chunk):
@@ -178,20 +178,22 @@
             return True
         if not self.copy.add(chunk, data):
             return False
-        if at is not None:
-            self._latency = sources.moving_average(self._latency, now - at)
+        if sent_at is not None:
+            self._latency_s = sources.moving_average(
+                self._latency_s, now - sent_at
+            )
         peer = self.peers.get(name)
         if peer is not None:
-            peer.strikes = 0
-            self._count(peer.distance, len(data))
-        self._got(chunk, now)
+            peer.missed_deadlines = 0
+            self._count_received(peer.distance, len(data))
+        self._chunk_added(chunk, now)
         return True
 
     def request_refused(
         self, name: str, chunk: int, retry_after_s: float, now: float
     ) -> None:
         """Note that a peer will not send a chunk now."""
-        self._unask(chunk, name)
+        self._remove_request(chunk, name)
         peer = self.peers.get(name)
         if peer is not None:
             peer.avoid_until = max(peer.avoid_until, now + retry_after_s)
@@ -200,17 +202,17 @@
         self, chunk: int, data: bytes, now: float
     ) -> bool:
         """Take a chunk from the origin; False if it is corrupt."""
-        began = self._reading.pop(chunk, now)
-        self._read_s = sources.moving_average(self._read_s, now - began)
+        started = self._reads.pop(chunk, now)
+        self._read_s = sources.moving_average(self._read_s, now - started)
         if self.copy is None or self.copy.holds(chunk):
             return True
         if not self.copy.add(chunk, data):
-            self.origin_schedule.read_failed(now)
+            self.schedule.read_failed(now)
             return False
-        self.origin_schedule.read_worked(now)
+        self.schedule.read_succeeded(now)
         origin = self.received.origin + len(data)
         self.received = self.received._replace(origin=origin)
-        self._got(chunk, now)
+        self._chunk_added(chunk, now)
         return True
 
     def add_local_chunk(self, chunk: int, data: bytes, now: float) -> bool:
@@ -219,15 +221,15 @@
             return True
         if not self.copy.add(chunk, data):
             return False
-        self._got(chunk, now)
+        self._chunk_added(chunk, now)
         return True
 
     def origin_read_failed(self, chunk: int, now: float) -> None:
         """Note that a read from the origin has failed."""
-        self._reading.pop(chunk, None)
+        self._reads.pop(chunk, None)
         # It fails for the other readers too, so none of them is gone.
-        self._open_since.clear()
-        self.origin_schedule.read_failed(now)
+        self._readable_since.clear()
+        self.schedule.read_failed(now)
 
     # What to do.
 
@@ -236,32 +238,32 @@
         """Whether the whole copy is held and verified."""
         return self.copy is not None and self.copy.complete
 
-    def standing(self) -> Standing:
+    def status(self) -> CopyStatus:
         """Give how it stands, for the log."""
         known = self._known()
-        return Standing(
+        return CopyStatus(
             self.copy.held_count if self.copy else 0,
-            self._held_near().bit_count(),
+            self._held_in_region().bit_count(),
             known.bit_count(),
-            len(self._asked),
-            len(self._reading),
+            len(self._requests),
+            len(self._reads),
         )
 
-    def known_count(self) -> int:
+    def known_chunk_count(self) -> int:
         """Give how many chunks are held here or by a peer."""
         return self._known().bit_count()
 
-    def knows_all(self) -> bool:
+    def all_known(self) -> bool:
         """Tell whether each chunk is held here or by a peer."""
-        return self.copy is not None and self._known() == self._all
+        return self.copy is not None and self._known() == self._all_chunks
 
     def is_half_known(self) -> bool:
         """Tell whether half of the chunks are held here or by a peer."""
         return self.copy is not None and (
-            2 * self.known_count() >= self._all.bit_count()
+            2 * self.known_chunk_count() >= self._all_chunks.bit_count()
         )
 
-    def wants_of_peers(self, now: float) -> bool:
+    def can_request_from_peers(self, now: float) -> bool:
         """Tell whether peers that may be asked hold what is missing here."""
         return any(
             peer.held & self._missing and peer.avoid_until <= now
@@ -269,7 +271,7 @@
         )
 
     def _known(self) -> int:
-        known = self._all & ~self._missing
+        known = self._all_chunks & ~self._missing
         for peer in self.peers.values():
             known |= peer.held
         return known
@@ -281,7 +283,7 @@
         before the origin is read.
         """
         if names and names <= self.peers.keys():
-            self.origin_schedule.heard_all()
+            self.schedule.all_peers_reported()
 
     def size_of(self, chunk: int) -> int:
         """Give the bytes of a chunk, 0 where that isn't known."""
@@ -294,35 +296,35 @@
         return self.copy.bitmap() if self.copy else b''
 
     def plan_reads(
-        self, now: float, may_take: Callable[[int], bool]
+        self, now: float, reserve: Callable[[int], bool]
     ) -> list[Action]:
         """Give what to read from the origin, or whom to ask for a manifest.
 
-        What is given is noted as under way. `may_take` takes a number of
+        What is given is noted as under way. `reserve` takes a number of
         bytes from the downlink's budget and tells whether they were there.
         """
         if self.complete:
             return []
-        self._expire(now)
+        self._expire_requests(now)
         if self.copy is None:
             return self._plan_manifest(now)
         actions: list[Action] = []
-        self._plan_reads(actions, now, may_take)
+        self._plan_reads(actions, now, reserve)
         return actions
 
     def plan_requests(
-        self, now: float, may_take: Callable[[int], bool]
+        self, now: float, reserve: Callable[[int], bool]
     ) -> list[Action]:
         """Give the requests to peers to make now, as `plan_reads` does."""
         if self.copy is None or self.complete:
             return []
         actions: list[Action] = []
-        self._plan_asks(actions, now, may_take)
-        self._plan_second_sources(actions, now, may_take)
+        self._plan_requests(actions, now, reserve)
+        self._plan_second_sources(actions, now, reserve)
         return actions
 
     def _plan_manifest(self, now: float) -> list[Action]:
-        if MANIFEST_INDEX not in self._asked:
+        if MANIFEST_INDEX not in self._requests:
             names = [
                 name
                 for name, peer in self.peers.items()
@@ -330,80 +332,82 @@
             ]
             if names:
                 return [
-                    self._ask(self._rng.choice(names), MANIFEST_INDEX, now)
+                    self._add_request(
+                        self._rng.choice(names), MANIFEST_INDEX, now
+                    )
                 ]
-        if len(self._asked) or self._reading:
+        if len(self._requests) or self._reads:
             return []
-        if not self.origin_schedule.may_read(
-            now
-        ) or not self.origin_schedule.is_due(MANIFEST_INDEX, now):
+        if not self.schedule.may_read(now) or not self.schedule.is_due(
+            MANIFEST_INDEX, now
+        ):
             return []
-        self._reading[MANIFEST_INDEX] = now
+        self._reads[MANIFEST_INDEX] = now
         return [ReadOrigin(MANIFEST_INDEX)]
 
     def _plan_reads(
         self,
         actions: list[Action],
         now: float,
-        may_take: Callable[[int], bool],
+        reserve: Callable[[int], bool],
     ) -> None:
-        if len(
-            self._reading
-        ) >= self.max_reads or not self.origin_schedule.may_read(now):
+        if len(self._reads) >= self.max_reads or not self.schedule.may_read(
+            now
+        ):
             return
-        unseen = self._missing & ~self._reachable(now) & ~self._pending()
+        unavailable = self._missing & ~self._reachable(now) & ~self._pending()
         due = [
-            (self.origin_schedule.rank(chunk), self._order(chunk), chunk)
-            for chunk in set_bits(unseen & self._open_chunks(now))
+            (self.schedule.rank(chunk), self._read_order(chunk), chunk)
+            for chunk in set_bits(unavailable & self._readable_chunks(now))
             if self._is_due(chunk, now)
         ]
-        for _rank, _lot, chunk in sorted(due):
-            if len(self._reading) >= self.max_reads:
+        for _rank, _tiebreak, chunk in sorted(due):
+            if len(self._reads) >= self.max_reads:
                 return
-            if not may_take(self.size_of(chunk)):
+            if not reserve(self.size_of(chunk)):
                 return
-            self._reading[chunk] = now
+            self._reads[chunk] = now
             actions.append(ReadOrigin(chunk))
-        if not self.reads_in_order or self.knows_all():
-            self._plan_reads_for_region(actions, now, may_take)
+        if not self.reads_in_order or self.all_known():
+            self._plan_reads_for_region(actions, now, reserve)
 
-    def _order(self, chunk: int) -> float:
+    def _read_order(self, chunk: int) -> float:
         return chunk if self.reads_in_order else self._rng.random()
 
-    def _open_chunks(self, now: float) -> int:
+    def _readable_chunks(self, now: float) -> int:
         """Give the chunks that may be read now, whoever reads them.
 
         They go by the last one that has turned up: an agent is linked to some
         of the others only, and hears of the ones before it later.
         """
         if not self.reads_in_order:
-            return self._all
-        last = (
-            self._known().bit_length()
-            + self.origin_schedule.chunks_at_once(now)
-        )
-        found = self._all & ((1 << last) - 1)
+            return self._all_chunks
+        end = self._known().bit_length() + self.schedule.read_window(now)
+        found = self._all_chunks & ((1 << end) - 1)
         for chunk in set_bits(found & ~self._known()):
-            self._open_since.setdefault(chunk, now)
+            self._readable_since.setdefault(chunk, now)
         return found
 
     def _is_due(self, chunk: int, now: float) -> bool:
-        if not self.reads_in_order or chunk not in self._open_since:
-            return self.origin_schedule.is_due(chunk, now)
-        rank = self.origin_schedule.rank(chunk)
+        if not self.reads_in_order or chunk not in self._readable_since:
+            return self.schedule.is_due(chunk, now)
+        rank = self.schedule.rank(chunk)
         if rank == 0:
-            return self.origin_schedule.is_due(chunk, now)
+            return self.schedule.is_due(chunk, now)
         read_s = max(
-            [self._read_s, *(now - began for began in self._reading.values())]
+            [
+                self._read_s,
+                *(now - started for started in self._reads.values()),
+            ]
         )
-        unread_s = now - self._open_since[chunk]
+        unread_s = now - self._readable_since[chunk]
         return unread_s >= sources.takeover_delay_s(rank, read_s)
 
     def _plan_reads_for_region(
         self,
         actions: list[Action],
         now: float,
-        may_take: Callable[[int], bool],
+        reserve: Callable[[int], bool],
     ) -> None:
         """Read what this agent is to bring over and nobody here has.
 
@@ -411,31 +415,37 @@
         origin's link is several times as wide and idle once every chunk was
         read there.
         """
-        wanted = self._missing & ~self._pending() & ~self._held_near()
+        wanted = self._missing & ~self._pending() & ~self._held_in_region()
         chosen = list(set_bits(self.imports.own_share(wanted, now)))
-        while chosen and len(self._reading) < self.max_reads:
+        while chosen and len(self._reads) < self.max_reads:
             chunk = chosen.pop(self._rng.randrange(len(chosen)))
-            if not may_take(self.size_of(chunk)):
+            if not reserve(self.size_of(chunk)):
                 return
-            self._reading[chunk] = now
+            self._reads[chunk] = now
             actions.append(ReadOrigin(chunk))
 
-    def _plan_asks(
+    def _plan_requests(
         self,
         actions: list[Action],
         now: float,
-        may_take: Callable[[int], bool],
+        reserve: Callable[[int], bool],
     ) -> None:
         # Everybody waits for a chunk that is read; what peers send meanwhile
         # would take the downlink from it.
-        reads_first = self.reads_in_order and not self.knows_all()
-        most = ASKED_BESIDE_READS if reads_first and self._reading else None
-        while len(self._asked) < (most or self.max_requests) and may_take(0):
+        reads_first = self.reads_in_order and not self.all_known()
+        limit = (
+            MAX_REQUESTS_DURING_READS if reads_first and self._reads else None
+        )
+        while len(self._requests) < (limit or self.max_requests) and reserve(
+            0
+        ):
             wanted = self._missing & ~self._pending()
             offers = self._offers(wanted, now)
             # What this agent is to bring over for its region goes before
             # what it can have nearby: the others wait for it.
-            imports = self.imports.own_share(wanted & ~self._held_near(), now)
+            imports = self.imports.own_share(
+                wanted & ~self._held_in_region(), now
+            )
             first = [
                 offer._replace(useful=offer.useful & imports)
                 for offer in offers
@@ -444,36 +454,36 @@
             offers = first or chunks.nearest(offers)
             if not offers:
                 return
-            peer, chunk = self._choose(offers, self._holders, self._rng)
-            may_take(self.size_of(chunk))
-            actions.append(self._ask(peer, chunk, now))
+            peer, chunk = self._choose(offers, self._holder_counts, self._rng)
+            reserve(self.size_of(chunk))
+            actions.append(self._add_request(peer, chunk, now))
 
     def _plan_second_sources(
         self,
         actions: list[Action],
         now: float,
-        may_take: Callable[[int], bool],
+        reserve: Callable[[int], bool],
     ) -> None:
         if self._missing & ~self._pending():
             return
-        late = now - sources.second_source_s(self._latency)
+        overdue_before = now - sources.second_source_s(self._latency_s)
         for chunk in set_bits(self._missing):
-            asked = self._asked.of(chunk)
-            began = [ask.at for ask in asked]
-            if chunk in self._reading:
-                began.append(self._reading[chunk])
-            if len(began) != 1 or began[0] > late:
+            requests = self._requests.for_chunk(chunk)
+            started = [request.sent_at for request in requests]
+            if chunk in self._reads:
+                started.append(self._reads[chunk])
+            if len(started) != 1 or started[0] > overdue_before:
                 continue
-            known = {ask.peer for ask in asked}
+            requested = {request.peer for request in requests}
             offers = [
                 offer
                 for offer in self._offers(1 << chunk, now)
-                if offer.useful and offer.peer not in known
+                if offer.useful and offer.peer not in requested
             ]
-            if not offers or not may_take(self.size_of(chunk)):
+            if not offers or not reserve(self.size_of(chunk)):
                 continue
-            peer = self._choose(offers, self._holders, self._rng).peer
-            actions.append(self._ask(peer, chunk, now))
+            peer = self._choose(offers, self._holder_counts, self._rng).peer
+            actions.append(self._add_request(peer, chunk, now))
 
     def _offers(self, wanted: int, now: float) -> list[Offer]:
         allowed = self.imports.importable(wanted, now)
@@ -482,48 +492,49 @@
                 name,
                 peer.held
                 & (allowed if peer.distance == OTHER_REGION else wanted),
-                peer.load + peer.asked,
+                peer.load + peer.pending_requests,
                 peer.distance,
             )
             for name, peer in self.peers.items()
-            if peer.asked < ASKED_OF_ONE and peer.avoid_until <= now
+            if peer.pending_requests < MAX_REQUESTS_PER_PEER
+            and peer.avoid_until <= now
         ]
 
-    def _ask(self, name: str, chunk: int, now: float) -> RequestChunk:
-        self._asked.add(chunk, name, now)
-        self.peers[name].asked += 1
+    def _add_request(self, name: str, chunk: int, now: float) -> RequestChunk:
+        self._requests.add(chunk, name, now)
+        self.peers[name].pending_requests += 1
         return RequestChunk(name, chunk)
 
-    def _unask(self, chunk: int, name: str) -> float | None:
-        ask = self._asked.remove(chunk, name)
-        if ask is None:
+    def _remove_request(self, chunk: int, name: str) -> float | None:
+        request = self._requests.remove(chunk, name)
+        if request is None:
             return None
         if name in self.peers:
-            self.peers[name].asked -= 1
-        return ask.at
+            self.peers[name].pending_requests -= 1
+        return request.sent_at
 
-    def _expire(self, now: float) -> None:
+    def _expire_requests(self, now: float) -> None:
         # A peer that stalls, or one whose link lost the request, would keep
         # its chunks from being asked for elsewhere.
-        before = now - sources.deadline_s(self._latency)
-        for chunk, name in self._asked.before(before):
-            self._unask(chunk, name)
+        cutoff = now - sources.deadline_s(self._latency_s)
+        for chunk, name in self._requests.sent_before(cutoff):
+            self._remove_request(chunk, name)
             peer = self.peers.get(name)
             if peer is None:
                 continue
-            peer.strikes += 1
-            wait = sources.avoid_s(peer.strikes)
+            peer.missed_deadlines += 1
+            wait = sources.avoid_s(peer.missed_deadlines)
             peer.avoid_until = max(peer.avoid_until, now + wait)
 
     def _pending(self) -> int:
         pending = 0
-        for chunk in self._asked:
+        for chunk in self._requests:
             pending |= 1 << chunk
-        for chunk in self._reading:
+        for chunk in self._reads:
             pending |= 1 << chunk
         return pending
 
-    def _held_near(self) -> int:
+    def _held_in_region(self) -> int:
         held = 0
         for peer in self.peers.values():
             if peer.distance != OTHER_REGION:
@@ -533,19 +544,19 @@
     def _reachable(self, now: float) -> int:
         reachable = 0
         for peer in self.peers.values():
-            if not peer.strikes or peer.avoid_until <= now:
+            if not peer.missed_deadlines or peer.avoid_until <= now:
                 reachable |= peer.held
         return reachable
 
-    def _got(self, chunk: int, now: float) -> None:
+    def _chunk_added(self, chunk: int, now: float) -> None:
         self._missing &= ~(1 << chunk)
-        if not self._near >> chunk & 1:
-            self._near |= 1 << chunk
-            self.origin_schedule.chunks_found(1, now)
+        if not self._seen >> chunk & 1:
+            self._seen |= 1 << chunk
+            self.schedule.chunks_found(1, now)
         if self.complete:
-            self.whole_at = now
+            self.completed_at = now
 
-    def _count(self, distance: int, size: int) -> None:
-        field = SOURCES[distance]
+    def _count_received(self, distance: int, size: int) -> None:
+        field = SOURCE_NAMES[distance]
         total = getattr(self.received, field) + size
         self.received = self.received._replace(**{field: total})
--- a/packages/burdockchute-agent/burdockchute_agent/copy_manager.py
+++ b/packages/burdockchute-agent/burdockchute_agent/copy_manager.py
@@ -41,7 +41,7 @@
 IDLE_S = 0.05
 
 
-def copies_reading_origin(going: Sequence[Copier]) -> list[Copier]:
+def copies_reading_origin(active: Sequence[Copier]) -> list[Copier]:
     """Give the copies that may read the origin, of those in their order.
 
     One at a time, since the origin may fail with neither of two whole. One of
@@ -49,27 +49,27 @@
     can finish it by themselves then. A copy whose reads fail holds up none.
     """
     unread = [
-        c for c in going if not c.knows_all() and not c.origin_schedule.fails
+        c for c in active if not c.all_known() and not c.schedule.is_failing
     ]
-    half_out = [c for c in unread if c.is_half_known()]
-    if half_out:
-        return half_out[:1]
-    last = going.index(unread[0]) if unread else len(going)
-    return list(going[: last + 1])
+    half_known = [c for c in unread if c.is_half_known()]
+    if half_known:
+        return half_known[:1]
+    last = active.index(unread[0]) if unread else len(active)
+    return list(active[: last + 1])
 
 
 def copies_requesting_chunks(
-    going: Sequence[Copier], now: float
+    active: Sequence[Copier], now: float
 ) -> list[Copier]:
     """Give the copies that may ask peers, of those in their order.
 
     What is asked for a later one takes of the uplinks that the earlier one
     waits for.
     """
-    for number, copier in enumerate(going):
-        if copier.wants_of_peers(now):
-            return list(going[: number + 1])
-    return list(going)
+    for number, copier in enumerate(active):
+        if copier.can_request_from_peers(now):
+            return list(active[: number + 1])
+    return list(active)
 
 
 class WeightsSource(NamedTuple):
@@ -97,7 +97,7 @@
         # Copies of which no chunk is asked for yet: the own machine may hold
         # them, and is looked through first.
         self.awaiting_local_scan: set[str] = set()
-        self.reads = OriginReads(source.open_origin, inbox.put)
+        self.origin_reads = OriginReads(source.open_origin, inbox.put)
         self._own = own
         self._bandwidth = bandwidth
         self._peers = peers
@@ -105,27 +105,27 @@
         self._rng = rng
         self._copiers: dict[str, Copier] = {}
         self._hosts: Mapping[str, tuple[str, ...]] = {}
-        self._news = Announcements(now)
+        self._announcements = Announcements(now)
         self._unreachable: frozenset[str] = frozenset()
         self._order: tuple[str, ...] = ()
         self._paced = paced
         metrics = WeightsMetrics()
-        self._serving = ChunkSender(
+        self._sender = ChunkSender(
             peers.links, self.copy_of, bandwidth, metrics, paced
         )
-        self._arrivals = ChunkReceiver(
+        self._receiver = ChunkReceiver(
             self._copiers,
             peers.links,
             source.parse_manifest,
             bandwidth,
-            self._serving,
-            self._news,
+            self._sender,
+            self._announcements,
             metrics,
         )
 
     def stop(self) -> None:
         """Stop all that is under way."""
-        self.reads.stop_all()
+        self.origin_reads.stop_all()
         self._peers.close_all()
 
     def note_live_bytes(self, count: int, now: float) -> None:
@@ -140,7 +140,7 @@
     def completed_at(self, digest: str) -> float | None:
         """Give when a copy became whole."""
         copier = self._copiers.get(digest)
-        return copier.whole_at if copier is not None else None
+        return copier.completed_at if copier is not None else None
 
     def size_of(self, digest: str) -> int:
         """Give the size of weights in bytes, 0 while it isn't known."""
@@ -155,9 +155,9 @@
     def known(self, digest: str) -> int:
         """Give how many chunks are held here or by a peer."""
         copier = self._copiers.get(digest)
-        return copier.known_count() if copier is not None else 0
+        return copier.known_chunk_count() if copier is not None else 0
 
-    def link_s(self, digest: str) -> float:
+    def full_copy_s(self, digest: str) -> float:
         """Give what a whole copy takes over the own link at the least."""
         size = self.size_of(digest)
         return size / self._bandwidth.receive_rate if size else float('inf')
@@ -169,9 +169,9 @@
                 event(
                     'copy_progress',
                     digest=digest,
-                    uploads=len(self._serving),
+                    uploads=len(self._sender),
                     peers=len(copier.peers),
-                    **copier.standing()._asdict(),
+                    **copier.status()._asdict(),
                 )
 
     def held_bytes(self) -> int:
@@ -190,7 +190,7 @@
     ) -> None:
         """Tell peers whether the engine loads or serves a digest."""
         if digest in self._copiers:
-            self._news.phase(digest, loading, is_open)
+            self._announcements.set_phase(digest, loading, is_open)
 
     def set_targets(
         self,
@@ -211,12 +211,12 @@
         self._unreachable = frozenset()
         wanted = {target.digest: target for target in targets}
         for digest in set(self._copiers) - set(wanted):
-            self._give_up(digest)
+            self._drop_copy(digest)
         for digest, target in wanted.items():
             if digest not in self._copiers:
-                self._begin(target, now)
+                self._start_copy(target, now)
             copier = self._copiers[digest]
-            copier.origin_schedule.origin_copies = target.origin_copies
+            copier.schedule.origin_copies = target.origin_copies
             if importers is not None:
                 copier.imports.set_importers(
                     self._own.name, importers.get(digest, ())
@@ -242,8 +242,8 @@
             return True
         if not copier.add_local_chunk(index, data, now):
             return False
-        self._news.chunk(digest)
-        self._arrivals.tell_whole(copier)
+        self._announcements.chunk_added(digest)
+        self._receiver.log_if_complete(copier)
         return True
 
     def missing_chunks(self, digest: str) -> list[int]:
@@ -256,25 +256,25 @@
 
     # What arrives.
 
-    def take(self, message: object, now: float) -> None:
+    def handle(self, message: object, now: float) -> None:
         """Take a message about copies or peers."""
         match message:
             case ManifestRead(digest=digest, outcome=outcome):
-                self._arrivals.manifest_read(digest, outcome, now)
+                self._receiver.manifest_read(digest, outcome, now)
             case OriginRead():
-                self._arrivals.chunk_read(message, now)
+                self._receiver.origin_chunk_read(message, now)
             case Dialled():
                 self._peers.dialled(message, now)
             case links.Opened(link=link):
-                self._opened(link)
+                self._link_opened(link)
             case links.Closed(link=link):
-                self._closed(link)
+                self._link_closed(link)
             case links.Received(link=link, message=received):
                 peer = self._peers.of(link)
                 if peer is not None:
-                    self._arrivals.received(peer, received, now)
+                    self._receiver.handle_message(peer, received, now)
 
-    def _opened(self, link: links.Link) -> None:
+    def _link_opened(self, link: links.Link) -> None:
         peer = self._peers.opened(link)
         if peer is not None:
             if self._paced:
@@ -283,12 +283,12 @@
                 peer.send(self._have(digest))
 
     def _pace(self, size: int) -> float:
-        return self._bandwidth.pace(size, time.monotonic())
+        return self._bandwidth.reserve_uplink(size, time.monotonic())
 
-    def _closed(self, link: links.Link) -> None:
+    def _link_closed(self, link: links.Link) -> None:
         name = self._peers.closed(link)
         if name is not None:
-            self._serving.forget_peer(name)
+            self._sender.remove_peer(name)
             for copier in self._copiers.values():
                 copier.peer_disconnected(name)
 
@@ -298,65 +298,65 @@
         """Ask, send and tell what is due; gives when to come back at most."""
         self._peers.tick(now)
         self._bandwidth.refill(now, self._paced)
-        self.reads.close_idle(now)
+        self.origin_reads.close_idle(now)
         self._skip_unreachable()
-        going: list[Copier] = []
+        active: list[Copier] = []
         for digest in self._order:
             copier = self._copiers[digest]
             if copier.complete:
                 continue
-            if copier.origin_schedule.stood_still:
-                copier.origin_schedule.stood_still = False
+            if copier.schedule.resumed_after_stall:
+                copier.schedule.resumed_after_stall = False
                 self._peers.dial_again()
             copier.set_expected_peers(self._expected_peers(copier.digest))
             if copier.copy is not None and digest in self.awaiting_local_scan:
                 continue
-            going.append(copier)
+            active.append(copier)
         # Copies of unlike rows have nothing to do with each other.
         for copier in (
-            copies_reading_origin(going) if self._paced else reversed(going)
+            copies_reading_origin(active) if self._paced else reversed(active)
         ):
             for action in copier.plan_reads(
                 now, self._bandwidth.reserve_downlink
             ):
-                self._do(copier, action)
+                self._execute(copier, action)
         for copier in (
-            copies_requesting_chunks(going, now) if self._paced else going
+            copies_requesting_chunks(active, now) if self._paced else active
         ):
             for action in copier.plan_requests(
                 now, self._bandwidth.reserve_downlink
             ):
-                self._do(copier, action)
-        upload_s = self._serving.send_due(now)
+                self._execute(copier, action)
+        upload_s = self._sender.send_due(now)
         peers = self._peers.links.values()
-        news_s = self._news.tell(peers, self._have, now)
-        due = [IDLE_S, news_s, upload_s]
+        announce_s = self._announcements.send_due(peers, self._have, now)
+        due = [IDLE_S, announce_s, upload_s]
         return min(wait_s for wait_s in due if wait_s is not None)
 
-    def _do(self, copier: Copier, action: Action) -> None:
+    def _execute(self, copier: Copier, action: Action) -> None:
         if isinstance(action, RequestChunk):
             peer = self._peers.links.get(action.peer)
             request = messages.ChunkRequest(copier.digest, action.chunk)
             if peer is not None:
                 peer.send(request)
         elif copier.copy is None:
-            self.reads.read_manifest(copier.digest)
+            self.origin_reads.read_manifest(copier.digest)
         else:
-            self.reads.read_chunk(copier.copy.manifest, action.chunk)
+            self.origin_reads.read_chunk(copier.copy.manifest, action.chunk)
 
     def _have(self, digest: str) -> messages.Have:
         copier = self._copiers[digest]
-        loading, is_open = self._news.phase_of(digest)
+        loading, is_open = self._announcements.phase_of(digest)
         return messages.Have(
             digest=digest,
             bitmap=copier.bitmap(),
-            uploads=len(self._serving),
+            uploads=len(self._sender),
             wants=not copier.complete,
             loading=int(loading),
             open=is_open,
         )
 
-    def _begin(self, target: Target, now: float) -> None:
+    def _start_copy(self, target: Target, now: float) -> None:
         copier = Copier(
             target.digest,
             target.origin_copies,
@@ -368,19 +368,19 @@
             copier.max_requests = PACED_MAX_REQUESTS
             copier.max_reads = PACED_MAX_READS
             copier.reads_in_order = True
-            copier.origin_schedule.max_backoff_s = sources.URGENT_BACKOFF_S
+            copier.schedule.max_backoff_s = sources.URGENT_BACKOFF_S
         self._copiers[target.digest] = copier
-        self._news.chunk(target.digest)
+        self._announcements.chunk_added(target.digest)
         event('copy_began', digest=target.digest)
-        self._arrivals.take_kept(copier, now)
+        self._receiver.apply_stored_haves(copier, now)
 
-    def _give_up(self, digest: str) -> None:
-        self.reads.stop(digest)
+    def _drop_copy(self, digest: str) -> None:
+        self.origin_reads.stop(digest)
         copier = self._copiers.pop(digest)
-        self._news.forget(digest)
+        self._announcements.forget(digest)
         if copier.copy is not None:
             copier.copy.release()
-        self._serving.forget_digest(digest)
+        self._sender.remove_digest(digest)
         event('copy_released', digest=digest)
 
     def _skip_unreachable(self) -> None:
@@ -396,7 +396,7 @@
     def _set_readers(self, digest: str) -> None:
         hosts = self._hosts.get(digest, ())
         readers = self._policy.readers(digest, self._own.name, hosts)
-        self._copiers[digest].origin_schedule.set_readers(
+        self._copiers[digest].schedule.set_readers(
             readers._replace(unreachable=self._unreachable)
         )
 
@@ -405,6 +405,6 @@
         banned = {
             name
             for name, peer in self._peers.links.items()
-            if self._arrivals.is_banned(peer)
+            if self._receiver.is_banned(peer)
         }
         return (self._peers.expected() & hosts) - banned
--- a/packages/burdockchute-agent/burdockchute_agent/corruption.py
+++ b/packages/burdockchute-agent/burdockchute_agent/corruption.py
@@ -12,7 +12,7 @@
     def __init__(self) -> None:
         self._counts: dict[tuple[str, str], int] = {}
 
-    def note(self, peer: PeerLink) -> int:
+    def record(self, peer: PeerLink) -> int:
         """Count a corrupt chunk; gives how many it has sent."""
         key = _key(peer)
         self._counts[key] = self._counts.get(key, 0) + 1
--- a/packages/burdockchute-agent/burdockchute_agent/origin_reads.py
+++ b/packages/burdockchute-agent/burdockchute_agent/origin_reads.py
@@ -69,12 +69,14 @@
 
     def read_manifest(self, digest: str) -> None:
         """Start to read a manifest unless that is already going on."""
-        self._start(_Read(digest, MANIFEST_INDEX), self._manifest, digest)
+        self._start(
+            _Read(digest, MANIFEST_INDEX), self._run_manifest_read, digest
+        )
 
     def read_chunk(self, manifest: Manifest, index: int) -> None:
         """Start to read a chunk unless that is already going on."""
         read = _Read(manifest.digest, index)
-        self._start(read, self._chunk, manifest, index)
+        self._start(read, self._run_chunk_read, manifest, index)
 
     def stop(self, digest: str) -> None:
         """Stop every read for a digest; nothing more is reported of it."""
@@ -100,37 +102,41 @@
         if read not in self._running:
             self._running[read] = gevent.spawn(run, read, *args)
 
-    def _manifest(self, read: _Read, digest: str) -> None:
+    def _run_manifest_read(self, read: _Read, digest: str) -> None:
         result = self._with_client(lambda client: client.manifest(digest))
         if self._running.pop(read, None):
-            self._report(ManifestRead(digest, _value_of(result)))
+            self._report(ManifestRead(digest, _value_or_error(result)))
 
-    def _chunk(self, read: _Read, manifest: Manifest, index: int) -> None:
-        asked = time.monotonic()
+    def _run_chunk_read(
+        self, read: _Read, manifest: Manifest, index: int
+    ) -> None:
+        started_at = time.monotonic()
         result = self._with_client(
             lambda client: client.chunk(manifest, index)
         )
         if self._running.pop(read, None):
-            outcome = _value_of(result)
-            self._report(OriginRead(manifest.digest, index, asked, outcome))
+            outcome = _value_or_error(result)
+            self._report(
+                OriginRead(manifest.digest, index, started_at, outcome)
+            )
 
     def _with_client(self, call: Callable[[OriginClient], Result]) -> Result:
         client = self._idle.pop() if self._idle else self._open_origin()
         before = client.bytes_read
-        whole = False
+        finished = False
         try:
             result = call(client)
-            whole = True
+            finished = True
         finally:
             # A client stopped in the middle of a reply can't be used again.
             self.bytes_read += client.bytes_read - before
             self.last_used = time.monotonic()
-            if whole and len(self._idle) < MAX_IDLE_CLIENTS:
+            if finished and len(self._idle) < MAX_IDLE_CLIENTS:
                 self._idle.append(client)
             else:
                 client.close()
         return result
 
 
-def _value_of(result: Result) -> Any:
+def _value_or_error(result: Result) -> Any:
     return result.value_or(None) or result.failure()
--- a/packages/burdockchute-agent/burdockchute_agent/origin_schedule.py
+++ b/packages/burdockchute-agent/burdockchute_agent/origin_schedule.py
@@ -13,23 +13,24 @@
 # A manifest is small and everyone waits for it.
 MANIFEST_READERS = 2
 # No manifest for so long means that neither store nor peers could be reached.
-STOOD_STILL_S = 2.0
+MANIFEST_STALL_S = 2.0
 
 
 class OriginSchedule:
     """The order of readers, how new chunks turn up, and failed reads.
 
-    `stood_still` becomes true when a copy goes on that nobody could feed;
-    its owner should dial its peers again and clear it.
+    `resumed_after_stall` becomes true when a copy goes on for which neither
+    the store nor peers gave chunks; its owner dials the peers again and
+    clears it.
     """
 
     def __init__(self, rng: random.Random, now: float) -> None:
         self.origin_copies = 1.0
-        self.stood_still = False
+        self.resumed_after_stall = False
         self.max_backoff_s = sources.MAX_BACKOFF_S
         self._rng = rng
-        self._began = now
-        self._heard_all = False
+        self._started_at = now
+        self._all_peers_reported = False
         self._readers: ReaderGroup | None = None
         self._ranks: dict[int, int] = {}
         self._progress = ChunkArrivals(now, 0.0)
@@ -42,21 +43,21 @@
             self._readers = readers
             self._ranks.clear()
 
-    def heard_all(self) -> None:
+    def all_peers_reported(self) -> None:
         """Note that every peer has told what it holds."""
-        self._heard_all = True
+        self._all_peers_reported = True
 
     def manifest_received(self, now: float) -> None:
         """Note that chunks may now be read."""
-        if self._failures or now - self._began > STOOD_STILL_S:
-            self._begin_again(now)
+        if self._failures or now - self._started_at > MANIFEST_STALL_S:
+            self._restart(now)
         self._failures = 0
         self._progress = ChunkArrivals(now, 0.0)
 
-    def read_worked(self, now: float) -> None:
+    def read_succeeded(self, now: float) -> None:
         """Note that the store has given a chunk."""
         if self._failures:
-            self._begin_again(now)
+            self._restart(now)
         self._failures = 0
 
     def read_failed(self, now: float) -> None:
@@ -73,7 +74,7 @@
         self._progress = ChunkArrivals(now, gap)
 
     @property
-    def fails(self) -> bool:
+    def is_failing(self) -> bool:
         """Whether the last read came to nothing."""
         return self._failures > 0
 
@@ -89,30 +90,30 @@
             self._ranks[chunk] = sources.reader_rank(self._readers, chunk)
         return self._ranks[chunk]
 
-    def chunks_at_once(self, now: float) -> int:
+    def read_window(self, now: float) -> int:
         """Give how many unknown chunks all readers may read at a time."""
-        began = self._progress._replace(
-            last=max(self._progress.last, self._began)
+        started = self._progress._replace(
+            last=max(self._progress.last, self._started_at)
         )
-        return sources.chunks_at_once(began, now)
+        return sources.chunks_at_once(started, now)
 
     def is_due(self, chunk: int, now: float) -> bool:
         """Tell whether a chunk that no neighbour has may be read."""
         copies = MANIFEST_READERS
         if chunk != MANIFEST_INDEX:
             copies = sources.readers_per_chunk(self.origin_copies, chunk)
-        began = self._began
-        if self._heard_all:
-            began -= sources.GRACE_S
+        started = self._started_at
+        if self._all_peers_reported:
+            started -= sources.GRACE_S
         step = self._readers.group_index if self._readers else 0
         return now >= sources.earliest_read_at(
-            self.rank(chunk), step, copies, began, self._progress
+            self.rank(chunk), step, copies, started, self._progress
         )
 
-    def _begin_again(self, now: float) -> None:
+    def _restart(self, now: float) -> None:
         # The store was out of reach, and so perhaps were the peers: a region
         # that was cut off is back. What the others have got meanwhile need
         # not come from the store, so peers get the time to tell.
-        self._began = now
-        self._heard_all = False
-        self.stood_still = True
+        self._started_at = now
+        self._all_peers_reported = False
+        self.resumed_after_stall = True
--- a/packages/burdockchute-agent/burdockchute_agent/region_imports.py
+++ b/packages/burdockchute-agent/burdockchute_agent/region_imports.py
@@ -15,7 +15,7 @@
     def __init__(self) -> None:
         self._readers: ReaderGroup | None = None
         self._ranks: dict[int, int] = {}
-        self._seen_at: dict[int, float] = {}
+        self._available_since: dict[int, float] = {}
 
     def set_importers(self, own: str, names: Iterable[str]) -> None:
         """Take who is in the own region."""
@@ -27,7 +27,7 @@
     def note_remote_chunks(self, chunks: int, now: float) -> None:
         """Note chunks that are held in another region."""
         for chunk in set_bits(chunks):
-            self._seen_at.setdefault(chunk, now)
+            self._available_since.setdefault(chunk, now)
 
     def importable(self, wanted: int, now: float) -> int:
         """Give those of the wanted chunks that may come from elsewhere."""
@@ -35,10 +35,10 @@
             return wanted
         found = 0
         for chunk in set_bits(wanted):
-            seen_at = self._seen_at.get(chunk)
-            if seen_at is None:
+            since = self._available_since.get(chunk)
+            if since is None:
                 continue
-            if sources.may_import(self._rank(chunk), seen_at, now):
+            if sources.may_import(self._rank(chunk), since, now):
                 found |= 1 << chunk
         return found
 
--- a/packages/burdockchute-agent/burdockchute_agent/staged/rollout.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/rollout.py
@@ -28,7 +28,7 @@
     def known(self, digest: str) -> int:
         """Give how many chunks are held here or by a peer."""
 
-    def link_s(self, digest: str) -> float:
+    def full_copy_s(self, digest: str) -> float:
         """Give what a whole copy takes over the own link at the least."""
 
     def complete_copy(self, digest: str) -> object | None:
@@ -193,7 +193,7 @@
             self.copying_s(version, now),
             useful_s,
             copies.known(name) / count if count else 0.0,
-            copies.link_s(name),
+            copies.full_copy_s(name),
         )
 
 
--- a/packages/burdockchute-agent/burdockchute_agent/staged/staged_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/staged_task.py
@@ -193,7 +193,7 @@
                 self._copying.awaiting_local_scan.discard(name)
                 logs.event('chunks_found_here', copy=name, found=found)
             case _:
-                self._copying.take(message, self._now())
+                self._copying.handle(message, self._now())
 
     def _looked(self, result: Result[EngineReport, CallFailed]) -> None:
         before = self.report
--- a/packages/burdockchute-agent/burdockchute_agent/upload_queue.py
+++ b/packages/burdockchute-agent/burdockchute_agent/upload_queue.py
@@ -7,7 +7,7 @@
 
 # So many chunks may wait for the uplink. A longer queue would outlast the
 # deadline of those who asked, and be sent in vain.
-QUEUE_CHUNKS = 8
+MAX_QUEUED_CHUNKS = 8
 
 
 class Upload(NamedTuple):
@@ -23,18 +23,18 @@
 
     def __init__(self) -> None:
         self._by_peer: dict[str, deque[Upload]] = {}
-        self._turns: deque[str] = deque()
+        self._rotation: deque[str] = deque()
 
     def __len__(self) -> int:
         return sum(len(waiting) for waiting in self._by_peer.values())
 
     def add(self, upload: Upload) -> bool:
         """Queue an upload; False if the queue is full."""
-        if len(self) >= QUEUE_CHUNKS:
+        if len(self) >= MAX_QUEUED_CHUNKS:
             return False
         if upload.peer not in self._by_peer:
             self._by_peer[upload.peer] = deque()
-            self._turns.append(upload.peer)
+            self._rotation.append(upload.peer)
         waiting = self._by_peer[upload.peer]
         if upload not in waiting:
             waiting.append(upload)
@@ -42,27 +42,29 @@
 
     def next(self) -> Upload | None:
         """Take the next one, None if there is none."""
-        while self._turns:
-            peer = self._turns.popleft()
+        while self._rotation:
+            peer = self._rotation.popleft()
             waiting = self._by_peer[peer]
             if waiting:
                 upload = waiting.popleft()
-                self._turns.append(peer)
+                self._rotation.append(peer)
                 return upload
             del self._by_peer[peer]
         return None
 
-    def forget_peer(self, peer: str) -> None:
+    def remove_peer(self, peer: str) -> None:
         """Drop what a peer that is gone has asked for."""
         if peer in self._by_peer:
             self._by_peer[peer].clear()
 
-    def forget_digest(self, digest: str) -> list[Upload]:
+    def remove_digest(self, digest: str) -> list[Upload]:
         """Drop and give all uploads of weights that are given up."""
         dropped: list[Upload] = []
         for peer, waiting in self._by_peer.items():
-            dropped.extend(up for up in waiting if up.digest == digest)
+            dropped.extend(
+                upload for upload in waiting if upload.digest == digest
+            )
             self._by_peer[peer] = deque(
-                up for up in waiting if up.digest != digest
+                upload for upload in waiting if upload.digest != digest
             )
         return dropped
--- a/packages/burdockchute-agent/burdockchute_agent/weights_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/weights_task.py
@@ -197,7 +197,7 @@
             case OrderEnded():
                 self._order_ended(message, now)
             case _:
-                self._copying.take(message, now)
+                self._copying.handle(message, now)
 
     def _want_rows(self) -> None:
         if not self._is_engine:
--- a/packages/burdockchute-agent/tests/test_copying.py
+++ b/packages/burdockchute-agent/tests/test_copying.py
@@ -46,7 +46,7 @@
     def test_a_copy_whose_reads_fail_holds_up_no_other(self):
         """Its chunks are corrupt at the origin, or it gives them no more."""
         broken, second = copier('a', known=5), copier('b')
-        broken.origin_schedule.read_failed(1.0)
+        broken.schedule.read_failed(1.0)
         self.assertEqual(
             [broken, second], copies_reading_origin([broken, second])
         )
--- a/packages/burdockchute-agent/tests/test_weights_parts.py
+++ b/packages/burdockchute-agent/tests/test_weights_parts.py
@@ -60,7 +60,7 @@
             random.Random(1),
             0.0,
         )
-        self.copier.origin_schedule.set_readers(
+        self.copier.schedule.set_readers(
             sources.reader_group('d', 'own', ['own', 'other'])
         )
 
@@ -159,7 +159,7 @@
         readers = sources.reader_group('d', 'a7', hosts)
         ranks = {sources.reader_rank(readers, index) for index in range(4)}
         self.assertNotIn(0, ranks)
-        self.copier.origin_schedule.set_readers(readers)
+        self.copier.schedule.set_readers(readers)
         self.begin()
         now = 100.0
         for action in self.plan(now):
@@ -175,9 +175,9 @@
         self.begin()
         with mock.patch.object(sources, 'CHUNKS_AT_ONCE', 2):
             now = sources.GRACE_S
-            self.copier.origin_schedule.chunks_found(1, now)
+            self.copier.schedule.chunks_found(1, now)
             readers = sources.reader_group('d', 'own', ['own'])
-            self.copier.origin_schedule.set_readers(readers)
+            self.copier.schedule.set_readers(readers)
             self.assertEqual({ReadOrigin(0), ReadOrigin(1)}, self.plan(now))
             # A peer has told that it holds one of them.
             self.copier.have_received('p', 0, have(0b0010), now)
@@ -190,9 +190,9 @@
         self.begin()
         with mock.patch.object(sources, 'CHUNKS_AT_ONCE', 1):
             readers = sources.reader_group('d', 'own', ['own'])
-            self.copier.origin_schedule.set_readers(readers)
+            self.copier.schedule.set_readers(readers)
             now = sources.GRACE_S
-            self.copier.origin_schedule.chunks_found(1, now)
+            self.copier.schedule.chunks_found(1, now)
             self.assertEqual({ReadOrigin(0)}, self.plan(now))
             now += sources.STALLED_S * 1.1
             self.assertEqual({ReadOrigin(1)}, self.plan(now))
@@ -205,7 +205,7 @@
         self.begin()
         now = sources.GRACE_S
         readers = sources.reader_group('d', 'other', ['own', 'other'])
-        self.copier.origin_schedule.set_readers(readers._replace(own='own'))
+        self.copier.schedule.set_readers(readers._replace(own='own'))
         far = (1 << len(MANIFEST_OF.chunks)) - 1
         self.copier.have_received('far', OTHER_REGION, have(far & ~1), now)
         unknown = {a.chunk for a in self.plan(now) if is_read(a)}
@@ -242,7 +242,7 @@
         uploads = UploadQueue()
         uploads.add(Upload('p', 'd', 1))
         uploads.add(Upload('p', 'e', 2))
-        self.assertEqual([Upload('p', 'd', 1)], uploads.forget_digest('d'))
+        self.assertEqual([Upload('p', 'd', 1)], uploads.remove_digest('d'))
         self.assertEqual(Upload('p', 'e', 2), uploads.next())
         self.assertIsNone(uploads.next())
 
--- a/packages/burdockchute-testing/burdockchute_testing/emulator/swarm.py
+++ b/packages/burdockchute-testing/burdockchute_testing/emulator/swarm.py
@@ -109,9 +109,9 @@
     def known(self, digest: str) -> int:
         """Give how many chunks this agent or a peer holds."""
         copier = self.copiers.get(digest)
-        return copier.known_count() if copier is not None else 0
+        return copier.known_chunk_count() if copier is not None else 0
 
-    def link_s(self, digest: str) -> float:
+    def full_copy_s(self, digest: str) -> float:
         """Give what a whole copy takes over the own link at the least."""
         fleet = self._swarm.fleet
         size = fleet.chunks * fleet.chunk_bytes
@@ -157,9 +157,9 @@
         copier.max_requests = PACED_MAX_REQUESTS
         copier.max_reads = PACED_MAX_READS
         copier.reads_in_order = True
-        copier.origin_schedule.max_backoff_s = 0.5
+        copier.schedule.max_backoff_s = 0.5
         names = self._swarm.names
-        copier.origin_schedule.set_readers(
+        copier.schedule.set_readers(
             DEFAULT_POLICY.readers(digest, self.name, names)
         )
         copier.imports.set_importers(self.name, self._swarm.region_of(self))
