--- a/packages/burdockchute-entry/burdockchute_entry/straight/agents_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/agents_task.py
@@ -41,16 +41,16 @@
 
 # News is told to so many agents, each of which tells its other entries: one
 # of them may be paused or gone.
-RELAYS = 3
+RELAY_AGENTS = 3
 
 # Agents hear of a save that changes nothing for them this often at most, so
 # that an entry that starts learns of it from them.
-SAVES_S = 1.0
+SAVES_PERIOD_S = 1.0
 
-Reported = Callable[[str, messages.LoadReport], None]
+OnLoadReport = Callable[[str, messages.LoadReport], None]
 
 
-def agents_of(beliefs: Beliefs, link_port: int) -> dict[str, Member]:
+def agents_by_address(beliefs: Beliefs, link_port: int) -> dict[str, Member]:
     """Give the agents of all engines, by the engine's address."""
     if beliefs.routes is None:
         return {}
@@ -65,7 +65,7 @@
     return found
 
 
-class _Told(NamedTuple):
+class _LastSent(NamedTuple):
     """What an agent was told last."""
 
     histories: Mapping[str, History]
@@ -74,10 +74,10 @@
 
 
 class AgentsTask:
-    """Keeps a link to each agent; `reported` gets what they report.
+    """Keeps a link to each agent; `on_load_report` gets what they report.
 
     Entries have no links to each other, so agents hand on which requests were
-    in flight in a crash; `learned` gets those of other entries.
+    in flight in a crash; `on_crash` gets those of other entries.
 
     Agents are told what operators want, and whether the store answers this
     entry (`in_contact`): one that it does not answer knows nothing new.
@@ -88,38 +88,38 @@
         own: Member,
         hello: Callable[[], messages.Hello],
         link_port: int,
-        reported: Reported,
-        learned: Callable[[CrashLearned], None],
+        on_load_report: OnLoadReport,
+        on_crash: Callable[[CrashLearned], None],
         in_contact: Callable[[], bool],
         rng: random.Random,
-        heard: Callable[[LinkEvent], None] = lambda event: None,
+        on_link_event: Callable[[LinkEvent], None] = lambda event: None,
     ) -> None:
         self.inbox: queue.Queue = queue.Queue()
         self._link_port = link_port
-        self._reported = reported
+        self._on_load_report = on_load_report
         self._peers = Peers(own, hello, self.inbox, rng)
-        self._learned = learned
+        self._on_crash = on_crash
         self._in_contact = in_contact
-        self._heard = heard
+        self._on_link_event = on_link_event
         self._rng = rng
         self._beliefs = Beliefs()
         self._services: dict[str, str] = {}
-        self._told: dict[str, _Told] = {}
+        self._last_sent: dict[str, _LastSent] = {}
         self._was_in_contact = in_contact()
-        self._told_saves: dict[str, int] = {}
-        self._saves_told_at = 0.0
+        self._sent_configurations: dict[str, int] = {}
+        self._saves_sent_at = 0.0
 
     def run(self) -> None:
         """Take messages for ever."""
         tasks.take_messages(
-            self.inbox, self._take, self._look, TICK_S, time.monotonic
+            self.inbox, self._handle, self._on_timer, TICK_S, time.monotonic
         )
 
     def close(self) -> None:
         """Close every link."""
         self._peers.close_all()
 
-    def _take(self, message: object) -> None:
+    def _handle(self, message: object) -> None:
         match message:
             case Beliefs():
                 self._beliefs = message
@@ -127,104 +127,108 @@
                     str(upstream.endpoint): upstream.service
                     for upstream in message.present()
                 }
-                self._peers.want(agents_of(message, self._link_port))
-                self._tell_all()
+                self._peers.want(agents_by_address(message, self._link_port))
+                self._send_to_all()
                 self._tick()
             case Dialled():
                 self._peers.dialled(message, time.monotonic())
             case links.Opened(link=link):
                 peer = self._peers.opened(link)
                 if peer is not None:
-                    self._told.pop(peer.name, None)
-                    self._tell(peer)
+                    self._last_sent.pop(peer.name, None)
+                    self._send_desired_state(peer)
                 logs.event('agent_linked', agent=link.peer.name)
             case links.Closed(link=link, reason=reason):
                 if self._peers.closed(link) is not None:
-                    self._told.pop(link.peer.name, None)
-                    self._heard(LinkLost(link.peer.name))
+                    self._last_sent.pop(link.peer.name, None)
+                    self._on_link_event(LinkLost(link.peer.name))
                     logs.warn(
                         'agent_lost', agent=link.peer.name, reason=reason
                     )
             case CrashSeen():
-                self._spread(messages.CrashNews(*message))
+                self._relay(messages.CrashNews(*message))
             case ProbeWanted():
                 self._probe(message)
             case LinkTold():
-                self._spread(messages.LinkNews(*message), message.agent)
+                self._relay(messages.LinkNews(*message), message.agent)
             case links.Received(link=link, message=messages.LinkProbe()):
                 sent_at = message.message.sent_us / 1e6
-                self._heard(ProbeReturned(link.peer.name, sent_at))
+                self._on_link_event(ProbeReturned(link.peer.name, sent_at))
             case links.Received(message=messages.LinkNews()):
                 news = message.message
-                self._heard(LinkTold(news.agent, news.is_slow))
+                self._on_link_event(LinkTold(news.agent, news.is_slow))
             case links.Received(message=messages.CrashNews()):
-                self._learned(
-                    CrashLearned(_crash_of(message.message), age_s=0.0)
+                self._on_crash(
+                    CrashLearned(_crash_seen(message.message), age_s=0.0)
                 )
             case links.Received(link=link, message=messages.LoadReport()):
                 if self._peers.of(link) is not None:
-                    self._reported(link.peer.name, message.message)
+                    self._on_load_report(link.peer.name, message.message)
 
     def _probe(self, wanted: ProbeWanted) -> None:
         peer = self._peers.links.get(wanted.agent)
         if peer is not None:
             peer.send(messages.LinkProbe(round(wanted.sent_at * 1e6)))
 
-    def _spread(
+    def _relay(
         self, news: messages.CrashNews | messages.LinkNews, about: str = ''
     ) -> None:
         linked = [
             peer for name, peer in self._peers.links.items() if name != about
         ]
-        for peer in self._rng.sample(linked, min(RELAYS, len(linked))):
+        for peer in self._rng.sample(linked, min(RELAY_AGENTS, len(linked))):
             peer.send(news)
 
-    def _tell(self, peer: PeerLink, of_saves: bool = False) -> None:
+    def _send_desired_state(
+        self, peer: PeerLink, for_save: bool = False
+    ) -> None:
         # An agent of whose engine the list says nothing keeps what it knows;
         # told of no service, it would take its models for withdrawn.
         service = self._services.get(peer.name)
         needs = self._beliefs.needs(service) if service else None
         # Most saves change nothing for agents; those aren't told of.
-        told = _Told(
+        last_sent = _LastSent(
             self._beliefs.histories,
             needs._replace(configuration=0) if needs else None,
             self._in_contact(),
         )
-        if not of_saves and told == self._told.get(peer.name):
+        if not for_save and last_sent == self._last_sent.get(peer.name):
             return
-        self._told_saves[peer.name] = needs.configuration if needs else 0
-        self._told[peer.name] = told
-        named = news_of(told.histories, time.monotonic())
+        self._sent_configurations[peer.name] = (
+            needs.configuration if needs else 0
+        )
+        self._last_sent[peer.name] = last_sent
+        named = news_of(last_sent.histories, time.monotonic())
         peer.send(
-            messages.WishesNews(named, needs_news(needs), told.in_contact)
+            messages.WishesNews(named, needs_news(needs), last_sent.in_contact)
         )
 
-    def _tell_all(self) -> None:
+    def _send_to_all(self) -> None:
         for peer in list(self._peers.links.values()):
-            self._tell(peer)
+            self._send_desired_state(peer)
 
-    def _look(self) -> None:
+    def _on_timer(self) -> None:
         now = time.monotonic()
-        if now - self._saves_told_at >= SAVES_S:
-            self._saves_told_at = now
-            self._tell_of_saves()
+        if now - self._saves_sent_at >= SAVES_PERIOD_S:
+            self._saves_sent_at = now
+            self._send_saves()
         self._tick()
 
-    def _tell_of_saves(self) -> None:
+    def _send_saves(self) -> None:
         newest = self._beliefs.newest_configuration()
         for name, peer in list(self._peers.links.items()):
             is_listed = name in self._services
-            if is_listed and self._told_saves.get(name, 0) < newest:
-                self._tell(peer, of_saves=True)
+            if is_listed and self._sent_configurations.get(name, 0) < newest:
+                self._send_desired_state(peer, for_save=True)
 
     def _tick(self) -> None:
         if self._in_contact() != self._was_in_contact:
             self._was_in_contact = not self._was_in_contact
-            self._tell_all()
+            self._send_to_all()
         self._peers.tick(time.monotonic())
 
 
-def _crash_of(news: messages.CrashNews) -> CrashSeen:
+def _crash_seen(news: messages.CrashNews) -> CrashSeen:
     return CrashSeen(
         news.fingerprint, news.upstream, news.alone, news.convicted
     )
--- a/packages/burdockchute-entry/burdockchute_entry/straight/app.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/app.py
@@ -49,7 +49,7 @@
 
 # Configurations may be saved many times a second, and each is long; what is
 # saved within this time is read together.
-WISHES_PERIOD_S = 0.3
+DESIRED_STATE_PERIOD_S = 0.3
 
 # The balancer looks once a second and takes an entry out after two misses.
 # Until then it still sends callers, who are served; a zone of which it has
@@ -58,7 +58,7 @@
 STILL_ACCEPTING_S = 2.4
 
 # Kept of the grace time for the end itself.
-END_S = 0.7
+SHUTDOWN_RESERVE_S = 0.7
 
 POLL_S = 0.02
 
@@ -69,8 +69,8 @@
     def __init__(
         self, cfg: SiteSettings, machine: Machine, adapter: Adapter
     ) -> None:
-        self.leaving = False
-        self.taking = True
+        self.shutting_down = False
+        self.accepting = True
         self._cfg = cfg
         self._adapter = adapter
         self._machine = machine
@@ -86,13 +86,13 @@
             lambda message: self.agents.inbox.put(message),
         )
         wait_s = longest_wait_s(machine.bounds.contact_s)
-        wishes_cadence = Cadence(wait_s, WISHES_PERIOD_S)
+        desired_state_cadence = Cadence(wait_s, DESIRED_STATE_PERIOD_S)
         self.follower = Follower(
             adapter.open_feeds(machine.store),
-            self._changed,
+            self._on_state_changed,
             now,
             rng,
-            lambda: wishes_cadence,
+            lambda: desired_state_cadence,
             Cadence(wait_s, UPSTREAMS_PERIOD_S, SETTLING_S),
         )
         self._suspects = Suspects()
@@ -100,8 +100,8 @@
             Member(machine.name, 'entry', machine.address, 0, machine.place),
             self.lifetime.hello,
             machine.link_ports[0],
-            self._reported,
-            self._crash_learned,
+            self._on_load_report,
+            self._on_crash_learned,
             lambda: not self.follower.wishes_contact.lost,
             rng,
             self.scheduler.handle_link_event,
@@ -116,7 +116,7 @@
                 self.agents.inbox.put,
             ),
             self.beliefs,
-            lambda: ShutdownState(self.leaving, self.taking),
+            lambda: ShutdownState(self.shutting_down, self.accepting),
             self.counters.finished,
         )
 
@@ -152,7 +152,7 @@
         )
         if not self.lifetime.run_until_stopped(self._loops()):
             return tasks.EXIT_TASK_FAILED
-        return self._leave(callers)
+        return self._shut_down(callers)
 
     def _watch(self) -> None:
         self.follower.watch_ages()
@@ -179,7 +179,7 @@
         beliefs = self.beliefs()
         return {
             **self.lifetime.status(),
-            'leaving': self.leaving,
+            'leaving': self.shutting_down,
             'open_requests': self.callers.open_requests,
             'configuration': self._configuration(),
             'versions': {
@@ -205,7 +205,7 @@
             self.follower.follow_wishes,
             self.follower.follow_upstreams,
             self.agents.run,
-            self._keep_filling,
+            self._keep_assigning,
         ]
 
     def _reload(self) -> None:
@@ -214,23 +214,25 @@
         )
         self.scheduler.set_bounds(self._machine.bounds)
 
-    def _changed(self, beliefs: Beliefs) -> None:
+    def _on_state_changed(self, beliefs: Beliefs) -> None:
         self.scheduler.update(beliefs)
         self.agents.inbox.put(beliefs)
 
-    def _reported(self, address: str, report: messages.LoadReport) -> None:
+    def _on_load_report(
+        self, address: str, report: messages.LoadReport
+    ) -> None:
         if report.named:
             self.follower.hear(heard_of(report.named, time.monotonic()))
         if report.configuration is not None:
             self.follower.hear_configuration(report.configuration)
         self.scheduler.apply_load_report(address, report)
 
-    def _crash_learned(self, learned: CrashLearned) -> None:
+    def _on_crash_learned(self, learned: CrashLearned) -> None:
         seen = learned.seen
         logs.event('crash_learned', **seen._asdict())
         self._suspects.peer_reported(learned, time.monotonic())
 
-    def _keep_filling(self) -> None:
+    def _keep_assigning(self) -> None:
         while True:
             gevent.sleep(ASSIGN_INTERVAL_S)
             self.scheduler.check_links()
@@ -245,7 +247,7 @@
         return [(ready.reason or 'ready').encode()]
 
     def _readiness(self) -> http_admin.Probe:
-        if self.leaving:
+        if self.shutting_down:
             return http_admin.Probe(False, 'leaving')
         if not self.beliefs().complete:
             return http_admin.Probe(False, 'no configuration yet')
@@ -257,21 +259,21 @@
             self._machine.address, self._cfg.admin_port, app
         )
 
-    def _leave(self, callers: Any) -> int:
-        began = time.monotonic()
-        until = began + self._machine.bounds.grace_s - END_S
+    def _shut_down(self, callers: Any) -> int:
+        started = time.monotonic()
+        deadline = started + self._machine.bounds.grace_s - SHUTDOWN_RESERVE_S
         logs.event('leaving', open_requests=self.callers.open_requests)
-        self.leaving = True
+        self.shutting_down = True
         gevent.sleep(STILL_ACCEPTING_S)
-        self.taking = False
-        while self.callers.open_requests and time.monotonic() < until:
+        self.accepting = False
+        while self.callers.open_requests and time.monotonic() < deadline:
             gevent.sleep(POLL_S)
         callers.close()
-        left = self.callers.open_requests
+        unfinished = self.callers.open_requests
         self.agents.close()
         logs.event(
             'stopped',
-            left=left,
-            took_s=round(time.monotonic() - began, 2),
+            left=unfinished,
+            took_s=round(time.monotonic() - started, 2),
         )
-        return 1 if left else 0
+        return 1 if unfinished else 0
--- a/packages/burdockchute-entry/burdockchute_entry/straight/attempts.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/attempts.py
@@ -12,19 +12,19 @@
 
 from burdockchute.upstreams.connections import Broken
 from burdockchute.upstreams.connections import Connection
+from burdockchute_entry.straight.replies import CompleteAnswer
 from burdockchute_entry.straight.replies import StreamAnswer
-from burdockchute_entry.straight.replies import WholeAnswer
 from burdockchute_entry.straight.service_queues import Slot
 
 
-class Elsewhere(NamedTuple):
+class NotExecuted(NamedTuple):
     """It was certainly not run there; `arrived` tells if it got there."""
 
     reason: str
     arrived: bool
 
 
-class Lost(NamedTuple):
+class OutcomeUnknown(NamedTuple):
     """It may have run there, and its answer did not come whole."""
 
     reason: str
@@ -33,7 +33,7 @@
 class Failed(NamedTuple):
     """The upstream ran it and says that it failed."""
 
-    answer: WholeAnswer
+    answer: CompleteAnswer
 
     @property
     def reason(self) -> str:
@@ -41,39 +41,39 @@
         return f'status {self.answer.head.status}'
 
 
-class TimeUp(NamedTuple):
+class TimedOut(NamedTuple):
     """The time of the request is over while an upstream has it."""
 
 
 class Answered(NamedTuple):
     """The upstream's answer, or the begin of it."""
 
-    reply: WholeAnswer | StreamAnswer
+    reply: CompleteAnswer | StreamAnswer
 
 
-Attempt = Elsewhere | Lost | Failed | TimeUp | Answered
+AttemptResult = NotExecuted | OutcomeUnknown | Failed | TimedOut | Answered
 
 
-class Overtaken(Broken):
+class WeightsReplaced(Broken):
     """The request was stopped before it began on weights of the past."""
 
 
-class Silent(Broken):
+class UpstreamSilent(Broken):
     """Nothing came from the upstream for so long that it is taken for dark."""
 
 
 # Told of an attempt at a stream that ended early: upstream, cause, reason.
-Interrupted = Callable[[str, str, str], None]
+OnInterrupted = Callable[[str, str, str], None]
 
 
-class Sent(NamedTuple):
+class SentRequest(NamedTuple):
     """A request that an upstream has in hand.
 
-    `begin_by` is when it has to have begun on the weights that it was sent
+    `start_by` is when it has to have begun on the weights that it was sent
     for; None for no such bound.
     """
 
     slot: Slot
     conn: Connection
-    at: float
-    begin_by: float | None
+    sent_at: float
+    start_by: float | None
--- a/packages/burdockchute-entry/burdockchute_entry/straight/watching.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/caller_watch.py
@@ -28,16 +28,16 @@
 
     def start(self) -> None:
         """Begin to watch."""
-        self._io.start(self._look)
+        self._io.start(self._check)
 
     def stop(self) -> None:
         """Watch no longer."""
         self._io.stop()
         self._io.close()
 
-    def _look(self) -> None:
-        gone = hung_up(self._sock)
+    def _check(self) -> None:
+        hung_up_now = hung_up(self._sock)
         # What a caller sends ahead stays readable until its turn comes.
         self._io.stop()
-        if gone:
+        if hung_up_now:
             self._greenlet.kill(CallerGone, block=False)
--- a/packages/burdockchute-entry/burdockchute_entry/straight/callers.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/callers.py
@@ -30,30 +30,30 @@
 from burdockchute.model.requests import RequestContext
 from burdockchute.model.routes import Kind
 from burdockchute.model.routes import Route
+from burdockchute_entry.straight.caller_watch import CallerWatch
 from burdockchute_entry.straight.exchange import Exchange
 from burdockchute_entry.straight.replies import CallerGone
+from burdockchute_entry.straight.replies import CompleteAnswer
 from burdockchute_entry.straight.replies import Reply
 from burdockchute_entry.straight.replies import StreamAnswer
 from burdockchute_entry.straight.replies import StreamBroken
-from burdockchute_entry.straight.replies import WholeAnswer
 from burdockchute_entry.straight.sending import Dependencies
-from burdockchute_entry.straight.watching import CallerWatch
 
 # A caller that comes before the first configuration is told to come back
 # when one is usually there.
 NOT_READY_RETRY_S = 1.0
 
 # Another entry takes the request that this one refuses as it leaves.
-LEAVING_RETRY_S = 0.05
+SHUTDOWN_RETRY_S = 0.05
 
 # A request that names no time has this long at most; routes say less.
-DEFAULT_TIME_S = 30.0
+DEFAULT_TIMEOUT_S = 30.0
 
 
-class Admitted(NamedTuple):
+class AdmittedRequest(NamedTuple):
     """A request that may be served: its route, service and context."""
 
-    asked: Asked
+    inbound: Asked
     route: Route
     service: str
     ctx: RequestContext
@@ -67,11 +67,11 @@
     connection next time.
     """
 
-    leaving: bool
-    taking: bool
+    shutting_down: bool
+    accepting: bool
 
 
-class Routed(NamedTuple):
+class RouteMatch(NamedTuple):
     """Where a request goes, for whom; priority 0 is the most urgent."""
 
     route: Route
@@ -80,7 +80,7 @@
     priority: int
 
 
-class Turned(NamedTuple):
+class Refusal(NamedTuple):
     """A request that goes no further, with the status that says why.
 
     `request_id` is empty where none could be read.
@@ -92,7 +92,7 @@
     request_id: str = ''
 
 
-class Finished(NamedTuple):
+class FinishedRequest(NamedTuple):
     """How a request ended, for counters; times are seconds.
 
     `interruptions` has why attempts at a stream ended early.
@@ -114,86 +114,90 @@
 
     def __init__(
         self,
-        tools: Dependencies,
+        deps: Dependencies,
         beliefs: Callable[[], Beliefs],
-        leaving: Callable[[], ShutdownState],
-        observe: Callable[[Finished], None],
+        shutdown_state: Callable[[], ShutdownState],
+        observe: Callable[[FinishedRequest], None],
     ) -> None:
         self.open_requests = 0
-        self._longest_s: dict[str, float] = {}
-        self._tools = tools
+        self._max_time_left_s: dict[str, float] = {}
+        self._deps = deps
         self._beliefs = beliefs
-        self._leaving = leaving
+        self._shutdown_state = shutdown_state
         self._observe = observe
 
     def __call__(
         self, environ: dict[str, Any], start_response: Callable
     ) -> Iterable[bytes]:
         """Answer one request."""
-        arrived = self._tools.now()
+        arrived = self._deps.now()
         admitted = self._admit(environ, arrived)
-        if isinstance(admitted, Turned):
-            return self._turn_away(environ, start_response, admitted)
-        answering = _Answering(self, admitted, environ, start_response)
-        return answering.run()
+        if isinstance(admitted, Refusal):
+            return self._send_refusal(environ, start_response, admitted)
+        handler = _RequestHandler(self, admitted, environ, start_response)
+        return handler.run()
 
     def _admit(
         self, environ: dict[str, Any], arrived: float
-    ) -> Admitted | Turned:
+    ) -> AdmittedRequest | Refusal:
         try:
-            asked = self._tools.adapter.decode_request(
+            inbound = self._deps.adapter.decode_request(
                 environ['REQUEST_METHOD'],
                 environ[TARGET_KEY],
                 environ[HEADERS_KEY],
             )
         except ValueError as exc:
-            return Turned(400, str(exc))
-        if not asked.id:
-            return Turned(400, 'no request id')
-        admitted = self._admit_asked(environ, asked, arrived)
-        if isinstance(admitted, Turned):
-            return admitted._replace(request_id=asked.id)
+            return Refusal(400, str(exc))
+        if not inbound.id:
+            return Refusal(400, 'no request id')
+        admitted = self._admit_decoded(environ, inbound, arrived)
+        if isinstance(admitted, Refusal):
+            return admitted._replace(request_id=inbound.id)
         return admitted
 
-    def _admit_asked(
-        self, environ: dict[str, Any], asked: Asked, arrived: float
-    ) -> Admitted | Turned:
-        if not self._leaving().taking:
-            return Turned(503, 'this entry is leaving', LEAVING_RETRY_S)
+    def _admit_decoded(
+        self, environ: dict[str, Any], inbound: Asked, arrived: float
+    ) -> AdmittedRequest | Refusal:
+        if not self._shutdown_state().accepting:
+            return Refusal(503, 'this entry is leaving', SHUTDOWN_RETRY_S)
         beliefs = self._beliefs()
         if beliefs.routes is None or not beliefs.complete:
-            return Turned(503, 'no configuration yet', NOT_READY_RETRY_S)
-        routed = _route_of(beliefs.routes, asked)
-        if isinstance(routed, Turned):
+            return Refusal(503, 'no configuration yet', NOT_READY_RETRY_S)
+        routed = _match_route(beliefs.routes, inbound)
+        if isinstance(routed, Refusal):
             return routed
         limits = beliefs.routes.configuration.limits
         body = http.read_body(
             environ, http.Limits(max_body_bytes=limits.max_body_bytes)
         )
         if isinstance(body, Rejection):
-            return Turned(body.status, body.findings[0].text)
-        elapsed_s = self._elapsed_s(routed.route, asked)
-        return _admitted(asked._replace(body=body), routed, arrived, elapsed_s)
+            return Refusal(body.status, body.findings[0].text)
+        elapsed_s = self._elapsed_s(routed.route, inbound)
+        return _make_admitted(
+            inbound._replace(body=body), routed, arrived, elapsed_s
+        )
 
-    def _elapsed_s(self, route: Route, asked: Asked) -> float:
+    def _elapsed_s(self, route: Route, inbound: Asked) -> float:
         """Estimate what a caller has spent on the request before.
 
         Callers name the time that they have left; one that names much less
         than others of its route comes back.
         """
-        if asked.time_left_s is None:
+        if inbound.time_left_s is None:
             return 0.0
-        longest_s = max(
-            self._longest_s.get(route.name, 0.0), asked.time_left_s
+        max_time_left_s = max(
+            self._max_time_left_s.get(route.name, 0.0), inbound.time_left_s
+        )
+        self._max_time_left_s[route.name] = max_time_left_s
+        return returning_callers.elapsed_s(
+            max_time_left_s, inbound.time_left_s
         )
-        self._longest_s[route.name] = longest_s
-        return returning_callers.elapsed_s(longest_s, asked.time_left_s)
 
-    def exchange(self, admitted: Admitted) -> Exchange:
+    def exchange(self, admitted: AdmittedRequest) -> Exchange:
         """Begin the exchange of an admitted request."""
         return Exchange(
-            self._tools,
-            admitted.asked,
+            self._deps,
+            admitted.inbound,
             admitted.ctx,
             admitted.route,
             admitted.service,
@@ -201,35 +205,39 @@
         )
 
     def finished(
-        self, admitted: Admitted, exchange: Exchange, status: int, why: str
+        self,
+        admitted: AdmittedRequest,
+        exchange: Exchange,
+        status: int,
+        outcome: str,
     ) -> None:
         """Log and count a request that has its final outcome."""
-        total_s = self._tools.now() - admitted.ctx.arrived
+        total_s = self._deps.now() - admitted.ctx.arrived
         first_s = exchange.first_event_s
         stream = exchange.stream
         logs.event(
             'request_finished',
-            request_id=admitted.asked.id,
+            request_id=admitted.inbound.id,
             route=admitted.route.name,
             customer=admitted.ctx.customer,
-            outcome=why,
+            outcome=outcome,
             status=status,
             upstream=exchange.sender.upstream,
             runs=exchange.sender.runs,
             sends=exchange.sender.sends,
             first_ms=None if first_s is None else int(first_s * 1000),
             gap_ms=int(stream.longest_gap_s * 1000) if stream else None,
-            events=stream.count if stream else None,
-            tokens=f'{admitted.asked.prompt_tokens},'
-            f'{admitted.asked.max_tokens},{admitted.asked.likely_tokens}',
+            events=stream.event_count if stream else None,
+            tokens=f'{admitted.inbound.prompt_tokens},'
+            f'{admitted.inbound.max_tokens},{admitted.inbound.likely_tokens}',
             left_ms=int((admitted.ctx.deadline - admitted.ctx.arrived) * 1e3),
             spent_ms=int(admitted.elapsed_s * 1000),
             ms=int(total_s * 1000),
         )
         self._observe(
-            Finished(
+            FinishedRequest(
                 admitted.route.name,
-                why,
+                outcome,
                 status,
                 total_s,
                 first_s,
@@ -239,42 +247,48 @@
 
     def connection_headers(self) -> list[tuple[str, str]]:
         """Give what a caller is told about its connection."""
-        return [('Connection', 'close')] if self._leaving().leaving else []
+        return (
+            [('Connection', 'close')]
+            if self._shutdown_state().shutting_down
+            else []
+        )
 
-    def _turn_away(
+    def _send_refusal(
         self,
         environ: dict[str, Any],
         start_response: Callable,
-        turned: Turned,
+        refusal: Refusal,
     ) -> list[bytes]:
         logs.event(
             'request_turned_away',
-            request_id=turned.request_id,
-            status=turned.status,
-            reason=turned.reason,
+            request_id=refusal.request_id,
+            status=refusal.status,
+            reason=refusal.reason,
             target=environ.get(TARGET_KEY),
             host=environ.get('HTTP_HOST'),
         )
-        self._observe(Finished('', 'turned_away', turned.status, 0.0, None))
+        self._observe(
+            FinishedRequest('', 'turned_away', refusal.status, 0.0, None)
+        )
         headers = self.connection_headers()
-        if turned.status in (408, 413):
+        if refusal.status in (408, 413):
             headers = [('Connection', 'close')]
-        return _refuse(
+        return _error_response(
             start_response,
-            turned.status,
-            turned.reason,
-            turned.retry_after_s,
+            refusal.status,
+            refusal.reason,
+            refusal.retry_after_s,
             headers,
         )
 
 
-class _Answering:
+class _RequestHandler:
     """The answer to one admitted request."""
 
     def __init__(
         self,
         app: CallersApp,
-        admitted: Admitted,
+        admitted: AdmittedRequest,
         environ: dict[str, Any],
         start_response: Callable,
     ) -> None:
@@ -287,123 +301,123 @@
     def run(self) -> Iterable[bytes]:
         self._app.open_requests += 1
         try:
-            return Body(self._begin(), self._written)
+            return Body(self._start(), self._on_written)
         except BaseException:
-            self._written()
+            self._on_written()
             raise
 
-    def _written(self) -> None:
+    def _on_written(self) -> None:
         self._app.open_requests -= 1
 
-    def _begin(self) -> Iterable[bytes]:
+    def _start(self) -> Iterable[bytes]:
         try:
             self._watch.start()
             reply = self._exchange.answer()
         except CallerGone:
-            self._end(0, 'caller_gone')
+            self._finish(0, 'caller_gone')
             raise StreamBroken('the caller has gone') from None
         except BaseException:
-            self._end(0, 'failed')
+            self._finish(0, 'failed')
             raise
         if isinstance(reply, StreamAnswer):
             return self._stream(reply)
-        self._end(_status_of(reply), _name_of(reply))
+        self._finish(_status_of(reply), _outcome_name(reply))
         return self._respond(reply)
 
     def _respond(self, reply: Reply) -> list[bytes]:
         headers = self._app.connection_headers()
-        if isinstance(reply, WholeAnswer):
+        if isinstance(reply, CompleteAnswer):
             headers += reply.head.headers
             headers.append(('Content-Length', str(len(reply.body))))
             self._start_response(status_line(reply.head.status), headers)
             return [reply.body]
         assert isinstance(reply, NotRun | Unknown)
         retry_s = reply.retry_after_s if isinstance(reply, NotRun) else 0.0
-        return _refuse(
+        return _error_response(
             self._start_response, reply.status, reply.reason, retry_s, headers
         )
 
     def _stream(self, reply: StreamAnswer) -> Iterator[bytes]:
         headers = self._app.connection_headers() + list(reply.head.headers)
         self._start_response(status_line(reply.head.status), headers)
-        why = 'stream_broken'
+        outcome = 'stream_broken'
         try:
             yield from reply.events
-            why = 'answered'
+            outcome = 'answered'
         except CallerGone:
-            why = 'caller_gone'
+            outcome = 'caller_gone'
             raise StreamBroken('the caller has gone') from None
         except OSError as exc:
-            why = f'stream_broken: {exc.strerror}'
+            outcome = f'stream_broken: {exc.strerror}'
             raise
         except GeneratorExit:
-            why = 'caller_gone'
+            outcome = 'caller_gone'
             raise
         finally:
             close = getattr(reply.events, 'close', None)
             if close is not None:
                 close()
-            self._end(reply.head.status, why)
+            self._finish(reply.head.status, outcome)
 
-    def _end(self, status: int, why: str) -> None:
+    def _finish(self, status: int, outcome: str) -> None:
         self._watch.stop()
-        self._app.finished(self._admitted, self._exchange, status, why)
+        self._app.finished(self._admitted, self._exchange, status, outcome)
 
 
-def _route_of(table: RouteTable, asked: Asked) -> Routed | Turned:
-    route = routing.find_route(table, asked.host, asked.path)
+def _match_route(table: RouteTable, inbound: Asked) -> RouteMatch | Refusal:
+    route = routing.find_route(table, inbound.host, inbound.path)
     if route is None:
-        return Turned(404, f'no route for {asked.host!r} {asked.path!r}')
+        return Refusal(404, f'no route for {inbound.host!r} {inbound.path!r}')
     customer, priority = '', route.priority
     if table.keyholders is not None:
-        holder = table.keyholders.get(asked.key)
+        holder = table.keyholders.get(inbound.key)
         if holder is None and not route.anonymous:
-            return Turned(401, 'no valid key')
+            return Refusal(401, 'no valid key')
         if holder is not None:
             customer = holder.name
             if holder.priority is not None:
                 priority = holder.priority
-    service = routing.choose_service(route.shares, asked.id)
+    service = routing.choose_service(route.shares, inbound.id)
     if service is None:
-        return Turned(503, f'route {route.name!r} leads nowhere', 1.0)
-    return Routed(route, service, customer, priority)
+        return Refusal(503, f'route {route.name!r} leads nowhere', 1.0)
+    return RouteMatch(route, service, customer, priority)
 
 
-def _admitted(
-    asked: Asked, routed: Routed, arrived: float, elapsed_s: float
-) -> Admitted:
+def _make_admitted(
+    inbound: Asked, routed: RouteMatch, arrived: float, elapsed_s: float
+) -> AdmittedRequest:
     route, service, customer, priority = routed
-    left_s = min(asked.time_left_s or DEFAULT_TIME_S, route.timeout_s)
+    left_s = min(inbound.time_left_s or DEFAULT_TIMEOUT_S, route.timeout_s)
     ctx = RequestContext(
-        request_id=asked.id,
+        request_id=inbound.id,
         customer=customer,
         target=service,
-        kind='model' if asked.model else 'service',
+        kind='model' if inbound.model else 'service',
         idempotent=route.may_repeat,
         idempotency_key='',
         arrived=arrived,
         deadline=arrived + left_s,
         priority=-priority,
-        prompt_tokens=asked.prompt_tokens,
-        max_tokens=asked.likely_tokens or asked.max_tokens,
+        prompt_tokens=inbound.prompt_tokens,
+        max_tokens=inbound.likely_tokens or inbound.max_tokens,
         stream=route.kind is Kind.STREAM,
-        method=asked.method,
-        path=asked.target,
+        method=inbound.method,
+        path=inbound.target,
         content_type='',
         body=b'',
-        fingerprint=_fingerprint(customer, asked),
+        fingerprint=_fingerprint(customer, inbound),
     )
-    return Admitted(asked, route, service, ctx, elapsed_s)
+    return AdmittedRequest(inbound, route, service, ctx, elapsed_s)
 
 
-def _fingerprint(customer: str, asked: Asked) -> str:
-    named = '\0'.join((customer, asked.method, asked.host, asked.target))
+def _fingerprint(customer: str, inbound: Asked) -> str:
+    named = '\0'.join((customer, inbound.method, inbound.host, inbound.target))
     hasher = blake3.blake3(named.encode())
-    hasher.update(b'\0' + asked.body)
+    hasher.update(b'\0' + inbound.body)
     return hasher.hexdigest()
 
 
-def _refuse(
+def _error_response(
     start_response: Callable,
     status: int,
     reason: str,
@@ -423,14 +437,14 @@
 
 
 def _status_of(reply: Reply) -> int:
-    if isinstance(reply, WholeAnswer):
+    if isinstance(reply, CompleteAnswer):
         return reply.head.status
     assert isinstance(reply, NotRun | Unknown)
     return reply.status
 
 
-def _name_of(reply: Reply) -> str:
-    if isinstance(reply, WholeAnswer):
+def _outcome_name(reply: Reply) -> str:
+    if isinstance(reply, CompleteAnswer):
         return 'answered'
     assert isinstance(reply, NotRun | Unknown)
     return f'{outcomes.name_of(reply)}: {reply.reason}'
--- a/packages/burdockchute-entry/burdockchute_entry/straight/counters.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/counters.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from burdockchute import metrics
-from burdockchute_entry.straight.callers import Finished
+from burdockchute_entry.straight.callers import FinishedRequest
 
 
 class Counters:
@@ -25,18 +25,20 @@
             'burdockchute.first_event', unit='s'
         )
 
-    def finished(self, done: Finished) -> None:
+    def finished(self, request: FinishedRequest) -> None:
         """Count one request."""
         # Reasons carry figures and would make one series each.
-        outcome = done.outcome.partition(':')[0]
+        outcome = request.outcome.partition(':')[0]
         attributes = {
-            'route': done.route,
+            'route': request.route,
             'outcome': outcome,
-            'status': str(done.status),
+            'status': str(request.status),
         }
         self._requests.add(1, attributes)
-        self._seconds.record(done.total_s, attributes)
-        if done.first_event_s is not None:
-            self._first_event.record(done.first_event_s, {'route': done.route})
-        for cause in done.interruptions:
+        self._seconds.record(request.total_s, attributes)
+        if request.first_event_s is not None:
+            self._first_event.record(
+                request.first_event_s, {'route': request.route}
+            )
+        for cause in request.interruptions:
             self._interruptions.add(1, {'cause': cause, 'outcome': outcome})
--- a/packages/burdockchute-entry/burdockchute_entry/straight/exchange.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/exchange.py
@@ -16,17 +16,17 @@
 from burdockchute.model.routes import Route
 from burdockchute.upstreams.connections import Broken
 from burdockchute_entry.straight.attempts import Answered
-from burdockchute_entry.straight.attempts import Attempt
-from burdockchute_entry.straight.attempts import Elsewhere
+from burdockchute_entry.straight.attempts import AttemptResult
 from burdockchute_entry.straight.attempts import Failed
-from burdockchute_entry.straight.attempts import Lost
-from burdockchute_entry.straight.attempts import Sent
-from burdockchute_entry.straight.attempts import Silent
-from burdockchute_entry.straight.attempts import TimeUp
+from burdockchute_entry.straight.attempts import NotExecuted
+from burdockchute_entry.straight.attempts import OutcomeUnknown
+from burdockchute_entry.straight.attempts import SentRequest
+from burdockchute_entry.straight.attempts import TimedOut
+from burdockchute_entry.straight.attempts import UpstreamSilent
 from burdockchute_entry.straight.handover import OK
+from burdockchute_entry.straight.replies import CompleteAnswer
 from burdockchute_entry.straight.replies import Reply
 from burdockchute_entry.straight.replies import StreamAnswer
-from burdockchute_entry.straight.replies import WholeAnswer
 from burdockchute_entry.straight.sending import Dependencies
 from burdockchute_entry.straight.sending import Sender
 from burdockchute_entry.straight.service_queues import RequestSpec
@@ -43,7 +43,7 @@
 Read = TypeVar('Read')
 
 
-class _Replaced(Exception):
+class _AnsweredByAnother(Exception):
     """Another upstream has answered in place of one that was silent."""
 
     def __init__(self, attempt: Answered) -> None:
@@ -56,118 +56,128 @@
 
     def __init__(
         self,
-        tools: Dependencies,
-        asked: Asked,
+        deps: Dependencies,
+        inbound: Asked,
         ctx: RequestContext,
         route: Route,
         service: str,
         elapsed_s: float,
     ) -> None:
         self.stream: Stream | None = None
-        spec = RequestSpec(service, asked.model, route.objective_s, elapsed_s)
-        self.sender = Sender(tools, asked, ctx, route, spec)
-        self._tools = tools
+        spec = RequestSpec(
+            service, inbound.model, route.objective_s, elapsed_s
+        )
+        self.sender = Sender(deps, inbound, ctx, route, spec)
+        self._deps = deps
         # Upstreams that have the request in hand, the newest last.
-        self._open: list[Sent] = []
+        self._in_flight: list[SentRequest] = []
 
     @property
     def first_event_s(self) -> float | None:
         """The time from arrival to the first event, None before that."""
-        if self.stream is None or not self.stream.began_at:
+        if self.stream is None or not self.stream.first_event_at:
             return None
-        return self.stream.began_at - self.sender.ctx.arrived
+        return self.stream.first_event_at - self.sender.ctx.arrived
 
     def answer(self) -> Reply:
         """Give the reply for the caller; streams go on in its events."""
         sender = self.sender
-        refused_s = self._tools.suspects.refused_for_s(
-            sender.ctx.fingerprint, self._tools.now()
+        refused_s = self._deps.suspects.refused_for_s(
+            sender.ctx.fingerprint, self._deps.now()
         )
         if refused_s:
             reason = 'it crashed the upstreams that ran it'
             return NotRun(reason, 503, SUSPECT_RETRY_S)
         while True:
-            slot = sender.next_place()
+            slot = sender.next_slot()
             if not isinstance(slot, Slot):
-                return self._truthful(slot)
-            attempt = self._attempt(slot)
+                return self._not_run_unless_sent(slot)
+            attempt = self._try_slot(slot)
             if isinstance(attempt, Answered):
                 return attempt.reply
-            if isinstance(attempt, TimeUp):
+            if isinstance(attempt, TimedOut):
                 return Unknown('no answer in time', GATEWAY_TIMEOUT)
-            if not sender.may_go_on(attempt):
-                return self._conclude(attempt)
+            if not sender.may_retry(attempt):
+                return self._final_reply(attempt)
             self._log_retry(slot, attempt)
 
-    def _conclude(self, attempt: Elsewhere | Lost | Failed) -> Reply:
+    def _final_reply(
+        self, attempt: NotExecuted | OutcomeUnknown | Failed
+    ) -> Reply:
         if isinstance(attempt, Failed):
             return attempt.answer
-        if isinstance(attempt, Lost):
+        if isinstance(attempt, OutcomeUnknown):
             return Unknown(attempt.reason, BAD_GATEWAY)
         retry_s = admission.retry_after_s(self.sender.route.objective_s)
-        return self._truthful(NotRun(attempt.reason, 503, retry_s))
+        return self._not_run_unless_sent(NotRun(attempt.reason, 503, retry_s))
 
-    def _truthful(self, outcome: NotRun) -> Reply:
+    def _not_run_unless_sent(self, outcome: NotRun) -> Reply:
         # Whatever the last upstream says: an earlier one may have run it.
         if self.sender.runs:
             return Unknown(outcome.reason, BAD_GATEWAY)
         return outcome
 
-    def _attempt(self, slot: Slot) -> Attempt:
+    def _try_slot(self, slot: Slot) -> AttemptResult:
         sent = self.sender.dispatch(slot)
-        if isinstance(sent, Elsewhere):
+        if isinstance(sent, NotExecuted):
             return sent
-        self._open.append(sent)
+        self._in_flight.append(sent)
         try:
             self.sender.send(sent)
-            return self._read(sent)
-        except _Replaced as exc:
-            self.sender.broke(sent, Silent(str(exc), False))
+            return self._read_answer(sent)
+        except _AnsweredByAnother as exc:
+            self.sender.mark_broken(sent, UpstreamSilent(str(exc), False))
             return exc.attempt
         except Broken as exc:
-            return self.sender.broke(sent, exc)
+            return self.sender.mark_broken(sent, exc)
         except BaseException:
             # The caller has gone, or an error that nobody foresaw.
             self.sender.abandon(sent)
             raise
         finally:
-            self._open.remove(sent)
+            self._in_flight.remove(sent)
 
-    def _read(self, sent: Sent) -> Attempt:
+    def _read_answer(self, sent: SentRequest) -> AttemptResult:
         sender = self.sender
-        head = self._unless_replaced(sent, lambda: sender.head(sent))
+        head = self._read_unless_replaced(sent, lambda: sender.read_head(sent))
         if head is None:
-            return self._time_up(sent)
+            return self._time_out(sent)
         if head.not_run:
-            return sender.refused(sent, head)
+            return sender.take_refusal(sent, head)
         if head.status < 400 and not head.sealed:
             raise Broken(f'status {head.status} without a signature', False)
         if head.is_stream and head.status == OK:
-            return self._begin_stream(sent, head)
-        body = sender.body(
+            return self._start_stream(sent, head)
+        body = sender.read_body(
             sent,
-            lambda: self._unless_replaced(sent, lambda: sender.part(sent)),
+            lambda: self._read_unless_replaced(
+                sent, lambda: sender.read_part(sent)
+            ),
         )
         if body is None:
-            return self._time_up(sent)
-        answer = WholeAnswer(head, body)
+            return self._time_out(sent)
+        answer = CompleteAnswer(head, body)
         if head.status >= 500:
             sender.fail(sent, head)
             return Failed(answer)
-        sender.settle(sent, head)
+        sender.finish(sent, head)
         return Answered(answer)
 
-    def _begin_stream(self, sent: Sent, head: AnswerHead) -> Attempt:
-        stream = Stream(self._tools, self.sender, sent, head)
-        begun = self._unless_replaced(sent, stream.begin)
-        if begun is None:
-            return self._time_up(sent)
+    def _start_stream(
+        self, sent: SentRequest, head: AnswerHead
+    ) -> AttemptResult:
+        stream = Stream(self._deps, self.sender, sent, head)
+        batch = self._read_unless_replaced(sent, stream.read_first_batch)
+        if batch is None:
+            return self._time_out(sent)
         self.stream = stream
-        return Answered(StreamAnswer(head, stream.events(begun)))
+        return Answered(StreamAnswer(head, stream.events(batch)))
 
     # Silent upstreams.
 
-    def _unless_replaced(self, sent: Sent, read: Callable[[], Read]) -> Read:
+    def _read_unless_replaced(
+        self, sent: SentRequest, read: Callable[[], Read]
+    ) -> Read:
         """Read on from an upstream until another one has answered.
 
         One that is silent may be dark or only slow. It keeps the request
@@ -176,59 +186,59 @@
         while True:
             try:
                 return read()
-            except Silent:
-                self._ask_another(sent)
+            except UpstreamSilent:
+                self._try_another_upstream(sent)
 
-    def _ask_another(self, sent: Sent) -> None:
+    def _try_another_upstream(self, sent: SentRequest) -> None:
         """Ask other upstreams for the answer; returns if none gives it.
 
         Raises _Replaced if one does, and Silent if an upstream that was
         asked before has begun to answer.
         """
         sender, target = self.sender, sent.slot.target
-        earlier = self._open[: self._open.index(sent)]
+        earlier = self._in_flight[: self._in_flight.index(sent)]
         if any(not other.conn.is_quiet() for other in earlier):
-            raise Silent('an earlier upstream answers', False)
+            raise UpstreamSilent('an earlier upstream answers', False)
         if not sender.pending.avoids(target):
-            sender.note_silent(sent)
-        while self._may_ask_more():
-            slot = sender.next_place()
+            sender.mark_silent(sent)
+        while self._may_try_another():
+            slot = sender.next_slot()
             if not isinstance(slot, Slot):
                 break
-            silent = Lost('the upstream is silent')
-            if not sender.may_go_on(silent):
-                self._tools.scheduler.release(sender.pending, slot)
+            silent = OutcomeUnknown('the upstream is silent')
+            if not sender.may_retry(silent):
+                self._deps.scheduler.release(sender.pending, slot)
                 break
             self._log_retry(sent.slot, silent)
-            attempt = self._attempt(slot)
+            attempt = self._try_slot(slot)
             if isinstance(attempt, Answered):
-                raise _Replaced(attempt)
+                raise _AnsweredByAnother(attempt)
             if not sent.conn.is_quiet():
                 break
         sender.upstream = target.id
 
-    def _may_ask_more(self) -> bool:
+    def _may_try_another(self) -> bool:
         sender = self.sender
         return (
             sender.runs < sender.route.max_attempts
             and sender.sends < retries.MAX_PLACEMENTS
         )
 
-    def _time_up(self, sent: Sent) -> TimeUp:
-        self.sender.give_up(sent)
-        return TimeUp()
+    def _time_out(self, sent: SentRequest) -> TimedOut:
+        self.sender.time_out(sent)
+        return TimedOut()
 
     def _log_retry(
-        self, slot: Slot, attempt: Elsewhere | Lost | Failed
+        self, slot: Slot, attempt: NotExecuted | OutcomeUnknown | Failed
     ) -> None:
         sender = self.sender
         service = sender.pending.spec.service
-        left = self._tools.scheduler.retry_budgets.balance(
-            service, self._tools.now()
+        left = self._deps.scheduler.retry_budgets.balance(
+            service, self._deps.now()
         )
         logs.event(
             'request_retried',
-            request_id=sender.asked.id,
+            request_id=sender.inbound.id,
             upstream=slot.target.id,
             reason=attempt.reason,
             runs=sender.runs,
--- a/packages/burdockchute-entry/burdockchute_entry/straight/known_targets.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/known_targets.py
@@ -18,14 +18,14 @@
 from burdockchute.model.upstreams import Upstream
 from burdockchute.wire import messages
 from burdockchute_entry.straight import targets
+from burdockchute_entry.straight.placement_round import PlacementRound
 from burdockchute_entry.straight.service_queues import PendingRequest
 from burdockchute_entry.straight.service_queues import RequestSpec
-from burdockchute_entry.straight.survey import Survey
 from burdockchute_entry.straight.targets import Target
 
 # An engine that has taken nothing new for longer than this does not load but
 # has failed; a load and what ran before it takes some two seconds.
-LOADS_S = 4.0
+MAX_LOADING_S = 4.0
 
 
 class KnownTargets:
@@ -49,7 +49,7 @@
         self._regions = regions
         self._beliefs = Beliefs()
         self._targets: dict[str, Target] = {}
-        self._at_address: dict[str, list[str]] = {}
+        self._ids_by_address: dict[str, list[str]] = {}
 
     # What is learnt.
 
@@ -61,16 +61,16 @@
             self._targets.pop(name).close_idle()
         for name, upstream in present.items():
             target = self._targets.get(name)
-            if target is not None and _same_start(target, upstream):
-                target.relisted(upstream)
+            if target is not None and _is_same_process(target, upstream):
+                target.update_listing(upstream)
                 continue
             if target is not None:
                 target.close_idle()
             self._targets[name] = Target(upstream, now)
-        self._at_address = {}
+        self._ids_by_address = {}
         for name, target in self._targets.items():
             address = str(target.upstream.endpoint)
-            self._at_address.setdefault(address, []).append(name)
+            self._ids_by_address.setdefault(address, []).append(name)
 
     def apply_load_report(
         self, address: str, report: messages.LoadReport, now: float
@@ -80,7 +80,7 @@
         Gives the services whose targets it is about.
         """
         self.entries = max(1, report.entries or 1)
-        known = self.at(address)
+        known = self.at_address(address)
         for target in known:
             self._take_report(target, report, now)
         return {target.upstream.service for target in known}
@@ -117,11 +117,13 @@
 
     # What is asked.
 
-    def at(self, address: str) -> list[Target]:
+    def at_address(self, address: str) -> list[Target]:
         """Give the targets at an address."""
-        return [self._targets[n] for n in self._at_address.get(address, ())]
+        return [
+            self._targets[n] for n in self._ids_by_address.get(address, ())
+        ]
 
-    def everyone(self) -> list[Target]:
+    def all_targets(self) -> list[Target]:
         """Give all targets, by id."""
         return [self._targets[name] for name in sorted(self._targets)]
 
@@ -139,22 +141,22 @@
             self._beliefs.history(model), version, self.bounds.version_s
         )
 
-    def hosts(self, pending: PendingRequest, now: float) -> list[Target]:
+    def eligible(self, pending: PendingRequest, now: float) -> list[Target]:
         """Give the targets that may run a request, with room or without."""
-        may_run = self._rule(pending, now)
+        may_run = self._eligibility(pending, now)
         return [
             target
             for target in self._usable(pending.spec.service, now)
             if may_run(target)
         ]
 
-    def may_host(self, pending: PendingRequest, now: float) -> bool:
+    def is_servable(self, pending: PendingRequest, now: float) -> bool:
         """Tell whether any target may run a request, now or after a while.
 
         Those that are left alone after a failure, or had no room, count as
         well.
         """
-        fits = self._fits(pending, now)
+        fits = self._version_rule(pending, now)
         return any(
             target.upstream.service == pending.spec.service
             and not target.upstream.draining
@@ -163,7 +165,7 @@
             for target in self._targets.values()
         )
 
-    def why_nobody(self, pending: PendingRequest, now: float) -> str:
+    def explain_ineligible(self, pending: PendingRequest, now: float) -> str:
         """Say why no target may run a request now, for the log."""
         spec = pending.spec
         own = [
@@ -172,11 +174,13 @@
             if target.upstream.service == spec.service
         ]
         usable = self._usable(spec.service, now)
-        least = self._least_version(spec, now)
-        fit = [target for target in usable if _may_run(target, spec, least)]
+        min_version = self._min_version(spec, now)
+        fit = [
+            target for target in usable if _may_run(target, spec, min_version)
+        ]
         return (
             f'{len(own)} known, {len(usable)} usable, {len(fit)} with weights '
-            f'from version {least}'
+            f'from version {min_version}'
         )
 
     def loads(self, spec: RequestSpec, now: float) -> list[InstanceLoad]:
@@ -197,7 +201,7 @@
         can still be whole in time.
         """
         spec = pending.spec
-        if not spec.model or spec.exact is not None:
+        if not spec.model or spec.exact_version is not None:
             return wait_limits.NO_OPENING
         opening = [
             (opens_at, target.load.slots)
@@ -208,14 +212,14 @@
         ]
         if not opening:
             return wait_limits.NO_OPENING
-        latest = pending.ctx.deadline - self.answer_s(pending)
+        latest = pending.ctx.deadline - self.answer_estimate_s(pending)
         slots = sum(slots for opens_at, slots in opening if opens_at <= latest)
         first_at = min(opens_at for opens_at, _slots in opening)
         return wait_limits.Opening(
             max(0.0, first_at - now), slots / self.entries
         )
 
-    def answer_s(self, pending: PendingRequest) -> float:
+    def answer_estimate_s(self, pending: PendingRequest) -> float:
         """Estimate how long an answer takes on an engine that just opened.
 
         It is full at once then, and reads all prompts at the same time.
@@ -244,25 +248,29 @@
 
     def _draw_share(self, target: Target, now: float) -> None:
         cost = self.cost(target.upstream.service)
-        most = float('inf')
+        max_slots = float('inf')
         if cost is not None and self.entries > 1:
-            most = engine_placement.max_prompts(cost, targets.SHARE_S)
-        target.draw_share(self.entries, most, self._rng.random(), now)
+            max_slots = engine_placement.max_prompts(
+                cost, targets.SHARE_PERIOD_S
+            )
+        target.draw_share(self.entries, max_slots, self._rng.random(), now)
 
     # One round of giving out places.
 
-    def survey(self, service: str, now: float) -> Survey:
+    def start_round(self, service: str, now: float) -> PlacementRound:
         """Look at the targets of a service."""
         targets = self._usable(service, now)
         # Entries with the same reports must not all choose the same engine
         # among equals.
         self._rng.shuffle(targets)
-        return Survey(targets, lambda target: self.view(target, now), now)
+        return PlacementRound(
+            targets, lambda target: self.view(target, now), now
+        )
 
     def choose(
         self,
         pending: PendingRequest,
-        survey: Survey,
+        placement_round: PlacementRound,
         left_s: float | None,
         unit_s: float,
         reserve: float,
@@ -274,7 +282,7 @@
         time; `unit_s` is the usual time for a unit of work. `reserve` is the
         part of an engine's slots that is kept free of late work.
         """
-        found = survey.open_to(self._rule(pending, now))
+        found = placement_round.candidates(self._eligibility(pending, now))
         cost = self.cost(pending.spec.service)
         if cost is None:
             load = placement.choose_instance(
@@ -287,14 +295,14 @@
             return found[load.name][0] if load else None
         views = [view for _target, view in found.values()]
         wanted = wanted_of(pending)
-        begun = pending.resuming
+        started = pending.resuming
         drawn = engine_placement.sample_engines(views, self._rng)
         view = engine_placement.choose_engine(
-            drawn, wanted, cost, left_s, reserve, begun
+            drawn, wanted, cost, left_s, reserve, started
         )
         if view is None and len(drawn) < len(views):
             view = engine_placement.choose_engine(
-                views, wanted, cost, left_s, reserve, begun
+                views, wanted, cost, left_s, reserve, started
             )
         return found[view.name][0] if view else None
 
@@ -305,21 +313,21 @@
             if target.upstream.service == service and target.is_usable(now)
         ]
 
-    def _rule(
+    def _eligibility(
         self, pending: PendingRequest, now: float
     ) -> Callable[[Target], bool]:
-        fits = self._fits(pending, now)
+        fits = self._version_rule(pending, now)
         return lambda target: (
             not pending.avoids(target)
             and not pending.was_rejected(target, now)
             and fits(target)
         )
 
-    def _fits(
+    def _version_rule(
         self, pending: PendingRequest, now: float
     ) -> Callable[[Target], bool]:
         spec = pending.spec
-        least = self._least_version(spec, now)
+        min_version = self._min_version(spec, now)
         # The same for all targets with a version, and looked up for each one
         # in every round of giving out places.
         ends: dict[int, float | None] = {}
@@ -336,10 +344,10 @@
             )
 
         return lambda target: (
-            _may_run(target, spec, least) and begins_in_time(target)
+            _may_run(target, spec, min_version) and begins_in_time(target)
         )
 
-    def _least_version(self, spec: RequestSpec, now: float) -> int:
+    def _min_version(self, spec: RequestSpec, now: float) -> int:
         if not spec.model:
             return 0
         history = self._beliefs.history(spec.model)
@@ -353,13 +361,13 @@
     )
 
 
-def _may_run(target: Target, spec: RequestSpec, least: int) -> bool:
+def _may_run(target: Target, spec: RequestSpec, min_version: int) -> bool:
     if not spec.model:
         return True
     version = target.versions.get(spec.model)
-    if version is None or version < least:
+    if version is None or version < min_version:
         return False
-    return spec.exact in (None, version)
+    return spec.exact_version in (None, version)
 
 
 def _opens_at(target: Target, now: float) -> float | None:
@@ -368,10 +376,10 @@
     # Its agent does not tell, and it takes nothing new: it loads, unless
     # that lasts too long.
     closed_s = target.closed_for_s(now)
-    return now if closed_s is not None and closed_s < LOADS_S else None
+    return now if closed_s is not None and closed_s < MAX_LOADING_S else None
 
 
-def _same_start(target: Target, upstream: Upstream) -> bool:
+def _is_same_process(target: Target, upstream: Upstream) -> bool:
     known = target.upstream
     return (known.endpoint, known.started_ms, known.service) == (
         upstream.endpoint,
--- a/packages/burdockchute-entry/burdockchute_entry/straight/survey.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/placement_round.py
@@ -21,30 +21,30 @@
 from burdockchute_entry.straight.service_queues import PendingRequest
 from burdockchute_entry.straight.targets import Target
 
-Look = Callable[[Target], EngineView]
+ViewOf = Callable[[Target], EngineView]
 
 
-class Survey:
+class PlacementRound:
     """The targets that have room, and what was asked of them in vain.
 
-    `look` gives the view of a target as it is now.
+    `view_of` gives the view of a target as it is now.
     """
 
     def __init__(
-        self, targets: Iterable[Target], look: Look, now: float
+        self, targets: Iterable[Target], view_of: ViewOf, now: float
     ) -> None:
-        self._look = look
+        self._view_of = view_of
         self._now = now
         self._open = {
-            target.id: (target, look(target))
+            target.id: (target, view_of(target))
             for target in targets
             if target.load.headroom(now) > 0
         }
         # Prompt and time left of what found no place.
-        self._in_vain: list[tuple[int, float | None]] = []
+        self._unplaceable: list[tuple[int, float | None]] = []
 
     def has_room(
-        self, is_late: bool, reserve: float = 0.0, is_shared: bool = False
+        self, is_overdue: bool, reserve: float = 0.0, is_shared: bool = False
     ) -> bool:
         """Tell whether any target may take a request, fresh or late.
 
@@ -53,11 +53,13 @@
         """
         return any(
             (not is_shared or engine_placement.has_share(view))
-            and (not is_late or engine_placement.has_free_slot(view, reserve))
+            and (
+                not is_overdue or engine_placement.has_free_slot(view, reserve)
+            )
             for _target, view in self._open.values()
         )
 
-    def open_to(
+    def candidates(
         self, allows: Callable[[Target], bool]
     ) -> dict[str, tuple[Target, EngineView]]:
         """Give the targets with room that a request may run on, by id."""
@@ -67,21 +69,21 @@
             if allows(target)
         }
 
-    def taken(self, target: Target) -> None:
+    def slot_taken(self, target: Target) -> None:
         """Note that a target was given one more request."""
         if target.load.headroom(self._now) > 0:
-            self._open[target.id] = (target, self._look(target))
+            self._open[target.id] = (target, self._view_of(target))
         else:
             self._open.pop(target.id, None)
 
-    def found_nothing(
+    def record_unplaceable(
         self, pending: PendingRequest, left_s: float | None
     ) -> None:
         """Note a request that no target could take."""
-        if not _is_choosy(pending):
-            self._in_vain.append((pending.ctx.prompt_tokens, left_s))
+        if not _is_restricted(pending):
+            self._unplaceable.append((pending.ctx.prompt_tokens, left_s))
 
-    def is_hopeless(
+    def is_unplaceable(
         self, pending: PendingRequest, left_s: float | None
     ) -> bool:
         """Tell whether a request asks for more than one that found nothing.
@@ -89,7 +91,7 @@
         A late one needs a free slot, whatever its prompt.
         """
         prompt = pending.ctx.prompt_tokens
-        for other, other_left_s in self._in_vain:
+        for other, other_left_s in self._unplaceable:
             if left_s is None and other_left_s is None:
                 return True
             if left_s is None or other_left_s is None:
@@ -99,6 +101,6 @@
         return False
 
 
-def _is_choosy(pending: PendingRequest) -> bool:
-    picky = pending.avoided or pending.rejected
-    return bool(picky) or pending.spec.exact is not None
+def _is_restricted(pending: PendingRequest) -> bool:
+    restricted = pending.avoided or pending.rejected
+    return bool(restricted) or pending.spec.exact_version is not None
--- a/packages/burdockchute-entry/burdockchute_entry/straight/replies.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/replies.py
@@ -13,7 +13,7 @@
 from burdockchute.model.outcomes import Unknown
 
 
-class WholeAnswer(NamedTuple):
+class CompleteAnswer(NamedTuple):
     """An upstream's answer with its whole body."""
 
     head: AnswerHead
@@ -31,7 +31,7 @@
     events: Iterator[bytes]
 
 
-Reply = WholeAnswer | StreamAnswer | NotRun | Unknown
+Reply = CompleteAnswer | StreamAnswer | NotRun | Unknown
 
 
 class CallerGone(gevent.GreenletExit):
--- a/packages/burdockchute-entry/burdockchute_entry/straight/retry_budgets.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/retry_budgets.py
@@ -32,7 +32,7 @@
         policy = self._policy()
         budget = self._budget(service, now, policy)
         self._budgets[service], allowed = retries.spend(
-            budget, now, policy, _kept(policy, resuming)
+            budget, now, policy, _reserved(policy, resuming)
         )
         return allowed
 
@@ -43,7 +43,7 @@
         policy = self._policy()
         budget = self._budget(service, now, policy)
         return retries.next_retry_in_s(
-            budget, now, policy, _kept(policy, resuming)
+            budget, now, policy, _reserved(policy, resuming)
         )
 
     def balance(self, service: str, now: float) -> float:
@@ -65,5 +65,5 @@
         return self._budgets.get(service) or retries.full_budget(now, policy)
 
 
-def _kept(policy: retries.BudgetPolicy, resuming: bool) -> float:
+def _reserved(policy: retries.BudgetPolicy, resuming: bool) -> float:
     return 0.0 if resuming else retries.reserved_for_started(policy)
--- a/packages/burdockchute-entry/burdockchute_entry/straight/scheduler.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/scheduler.py
@@ -30,27 +30,27 @@
 from burdockchute.wire import messages
 from burdockchute_entry.straight.known_targets import KnownTargets
 from burdockchute_entry.straight.known_targets import wanted_of
+from burdockchute_entry.straight.placement_round import PlacementRound
 from burdockchute_entry.straight.retry_budgets import RetryBudgets
 from burdockchute_entry.straight.service_queues import PendingRequest
 from burdockchute_entry.straight.service_queues import ServiceQueue
 from burdockchute_entry.straight.service_queues import Slot
-from burdockchute_entry.straight.slow_links import Ask
+from burdockchute_entry.straight.slow_links import SendLinkMessage
 from burdockchute_entry.straight.slow_links import SlowLinks
-from burdockchute_entry.straight.survey import Survey
 from burdockchute_entry.straight.targets import Target
 from burdockchute_entry.straight.targets import UnstartedRequest
 
 # A request whose service has nobody to run it hears so at once; upstreams
 # restart or are listed again within about this time.
-NOBODY_RETRY_S = 1.0
+NO_UPSTREAM_RETRY_S = 1.0
 
 # After a report that may have freed places, those that come in this time are
 # used in one round; it is a fiftieth of the usual objective.
-FILL_WAIT_S = 0.01
+ASSIGN_DELAY_S = 0.01
 
 # A request whose target has no room does not hold up those behind it; more
 # than this many are not looked past in one go.
-MAX_ASIDE = 16
+MAX_SKIPPED = 16
 
 
 class Stage(NamedTuple):
@@ -79,8 +79,9 @@
 class Scheduler:
     """The queues and the budgets of retries of one entry.
 
-    `region` is its own, `regions` gives that of each availability zone. `ask`
-    has links to agents probed, and other entries told of slow ones.
+    `region` is its own, `regions` gives that of each availability zone.
+    `send_link_message` has links to agents probed, and other entries told of
+    slow ones.
     """
 
     def __init__(
@@ -90,14 +91,14 @@
         rng: random.Random,
         region: str = '',
         regions: Mapping[str, str] | None = None,
-        ask: Ask = lambda message: None,
+        send_link_message: SendLinkMessage = lambda message: None,
     ) -> None:
         self._now = now
-        self._slow_links = SlowLinks(ask)
+        self._slow_links = SlowLinks(send_link_message)
         self._known = KnownTargets(bounds, rng, region, regions or {})
-        self._lanes: dict[str, ServiceQueue] = {}
+        self._service_queues: dict[str, ServiceQueue] = {}
         self._waiting: dict[str, PendingRequest] = {}
-        self._due: set[str] = set()
+        self._assignments_due: set[str] = set()
         self.retry_budgets = RetryBudgets(
             lambda: self._known.bounds, lambda: self._known.entries
         )
@@ -116,18 +117,18 @@
         for service in self._known.apply_load_report(
             address, report, self._now()
         ):
-            self._fill_soon(service)
+            self._assign_soon(service)
 
     def handle_link_event(self, event: LinkEvent) -> None:
         """Take in what is heard of the link to an agent."""
         now = self._now()
         self._slow_links.handle_event(event, now)
-        for target in self._known.at(event.agent):
+        for target in self._known.at_address(event.agent):
             target.is_held = self._slow_links.is_held(event.agent, now)
 
     def check_links(self) -> None:
         """Find out whether requests stand before a slow link."""
-        self._slow_links.check(self._known.everyone(), self._now())
+        self._slow_links.check(self._known.all_targets(), self._now())
 
     def set_bounds(self, bounds: Bounds) -> None:
         """Take the machine's bounds from its settings, read again."""
@@ -135,7 +136,7 @@
 
     def targets(self) -> list[Target]:
         """Give all targets, by id."""
-        return self._known.everyone()
+        return self._known.all_targets()
 
     # Requests.
 
@@ -144,38 +145,46 @@
     ) -> Slot | NotRun:
         """Wait for a place; gives NotRun if it can't have one in time."""
         plan = self.plan(pending, deadline)
-        return self._wait(pending, plan) if isinstance(plan, Plan) else plan
+        return (
+            self._wait_in_stages(pending, plan)
+            if isinstance(plan, Plan)
+            else plan
+        )
 
     def plan(self, pending: PendingRequest, deadline: float) -> Plan | NotRun:
         """Tell where a request waits and for how long, or that it can't."""
         now = self._now()
-        lane = self._lane(pending.spec.service)
+        service_queue = self._service_queue(pending.spec.service)
         spec = pending.spec
         if pending.resuming:
-            if not self.may_host(pending):
-                return self._nobody(pending, wait_limits.NO_OPENING, now)
-            return Plan((Stage(lane.resumed, deadline - now),), 0.0)
+            if not self.is_servable(pending):
+                return self._no_upstream(pending, wait_limits.NO_OPENING, now)
+            return Plan((Stage(service_queue.resumed, deadline - now),), 0.0)
         opening = self._known.opening(pending, now)
-        late_s = self._late_wait_s(pending, opening, now)
-        if not self._known.hosts(pending, now):
-            if not opening.slots or not late_s:
-                return self._nobody(pending, opening, now)
-            return Plan((Stage(lane.late, late_s),), late_s)
-        fresh_s = wait_limits.on_time_wait_s(
+        overdue_s = self._overdue_wait_s(pending, opening, now)
+        if not self._known.eligible(pending, now):
+            if not opening.slots or not overdue_s:
+                return self._no_upstream(pending, opening, now)
+            return Plan((Stage(service_queue.overdue, overdue_s),), overdue_s)
+        on_time_s = wait_limits.on_time_wait_s(
             spec.objective_s, spec.elapsed_s, deadline - now
         )
-        expected_s = lane.expected_wait_s(
+        expected_s = service_queue.expected_wait_s(
             pending, self._known.loads(spec, now), now
         )
-        if expected_s > max(fresh_s, late_s):
+        if expected_s > max(on_time_s, overdue_s):
             return NotRun(
                 f'the wait would be {expected_s:.2f} s',
                 503,
                 admission.retry_after_s(expected_s),
             )
-        retry_s = self._retry_s(pending, late_s, now)
+        retry_s = self._retry_s(pending, overdue_s, now)
         return Plan(
-            (Stage(lane.queue, fresh_s), Stage(lane.late, late_s)), retry_s
+            (
+                Stage(service_queue.queue, on_time_s),
+                Stage(service_queue.overdue, overdue_s),
+            ),
+            retry_s,
         )
 
     def start_stage(
@@ -185,20 +194,24 @@
 
         Its `slot` may be ready at once.
         """
-        lane = self._lane(pending.spec.service)
-        pending.is_late = stage.queue is lane.late
-        if pending.is_new and pending.is_late:
-            lane.overload.record(True, self._now())
+        service_queue = self._service_queue(pending.spec.service)
+        pending.is_overdue = stage.queue is service_queue.overdue
+        if pending.is_new and pending.is_overdue:
+            service_queue.overload.record(True, self._now())
         # One that has come back has no time to wait among the new ones.
-        pending.is_new = stage.queue is lane.queue and stage.wait_s > 0
+        pending.is_new = (
+            stage.queue is service_queue.queue and stage.wait_s > 0
+        )
         if stage.wait_s <= 0:
             return None
-        if pending.is_late and not self._may_wait_late(lane, pending):
+        if pending.is_overdue and not self._may_wait_overdue(
+            service_queue, pending
+        ):
             return None
         self._waiting[pending.ctx.request_id] = pending
-        self._offer(stage.queue, pending, retry_s)
-        self._fill(pending.spec.service)
-        if not pending.is_late:
+        self._enqueue(stage.queue, pending, retry_s)
+        self._assign_slots(pending.spec.service)
+        if not pending.is_overdue:
             return stage.wait_s
         # The late stage counts from arrival.
         spent_s = self._now() - pending.ctx.arrived
@@ -207,11 +220,11 @@
     def stop_waiting(self, pending: PendingRequest) -> None:
         """Take a request out of all queues."""
         self._waiting.pop(pending.ctx.request_id, None)
-        for queue in self._lane(pending.spec.service).queues:
+        for queue in self._service_queue(pending.spec.service).queues:
             queue.remove(pending.ctx.request_id)
 
     def reserve_slot(
-        self, pending: PendingRequest, within_s: float, rest_s: float
+        self, pending: PendingRequest, within_s: float, remaining_s: float
     ) -> Slot | None:
         """Give a place where the answer goes on within a time, or None.
 
@@ -219,21 +232,27 @@
         """
         now = self._now()
         cost = self._known.cost(pending.spec.service)
-        hosts = {
-            target.id: target for target in self._known.hosts(pending, now)
+        eligible = {
+            target.id: target for target in self._known.eligible(pending, now)
         }
-        if cost is None or not hosts:
+        if cost is None or not eligible:
             return None
-        views = [self._known.view(target, now) for target in hosts.values()]
-        staying = [v for v in views if engine_placement.stays_open(v, rest_s)]
+        views = [self._known.view(target, now) for target in eligible.values()]
+        staying = [
+            v for v in views if engine_placement.stays_open(v, remaining_s)
+        ]
         view = engine_placement.choose_engine(
             staying, wanted_of(pending), cost, within_s, begun=True
         )
-        return self._taken(pending, hosts[view.name], now) if view else None
+        return (
+            self._take_slot(pending, eligible[view.name], now)
+            if view
+            else None
+        )
 
-    def may_host(self, pending: PendingRequest) -> bool:
+    def is_servable(self, pending: PendingRequest) -> bool:
         """Tell whether any target may run it, now or after a while."""
-        return self._known.may_host(pending, self._now())
+        return self._known.is_servable(pending, self._now())
 
     def tokens_per_event(self, service: str) -> int:
         """Give how many tokens an event of a service's streams holds."""
@@ -253,10 +272,10 @@
                 service, target.last_first_event_s
             )
             if pending.is_new:
-                left_s = self._left_s(pending, now)
+                left_s = self._objective_left_s(pending, now)
                 missed = left_s is not None and left_s < 0
-                self._lane(service).overload.record(missed, now)
-        self._fill(pending.spec.service)
+                self._service_queue(service).overload.record(missed, now)
+        self._assign_slots(pending.spec.service)
 
     def release(self, pending: PendingRequest, slot: Slot) -> None:
         """Free the place of a request that was not run there."""
@@ -264,84 +283,93 @@
             pending.ctx.request_id, False, self._now()
         )
         slot.target.load.on_returned(pending.work)
-        self._fill(pending.spec.service)
+        self._assign_slots(pending.spec.service)
 
     def mark_answered(
         self, pending: PendingRequest, slot: Slot, service_s: float
     ) -> None:
         """Free the place of a request that was answered in so long."""
-        lane = self._lane(pending.spec.service)
+        service_queue = self._service_queue(pending.spec.service)
         now = self._now()
         target = slot.target
         target.remove_unstarted(pending.ctx.request_id, True, now)
-        target.load.on_answered(pending.work, service_s, lane.unit_s, now)
+        target.load.on_answered(
+            pending.work, service_s, service_queue.unit_s, now
+        )
         target.record_success(now)
-        lane.answered(service_s / pending.work.cost)
-        self._fill(pending.spec.service)
+        service_queue.answered(service_s / pending.work.cost)
+        self._assign_slots(pending.spec.service)
 
     def mark_failed(
         self, pending: PendingRequest, slot: Slot, service_s: float
     ) -> None:
         """Free the place of a request that failed there after so long."""
-        lane = self._lane(pending.spec.service)
+        service_queue = self._service_queue(pending.spec.service)
         now = self._now()
         target = slot.target
         target.remove_unstarted(pending.ctx.request_id, False, now)
-        target.load.on_failed(pending.work, service_s, lane.unit_s, now)
-        self._fill(pending.spec.service)
+        target.load.on_failed(
+            pending.work, service_s, service_queue.unit_s, now
+        )
+        self._assign_slots(pending.spec.service)
 
     def assign_free_slots(self) -> None:
         """Use what room there is."""
-        for service, lane in self._lanes.items():
-            self._refuse_hopeless(lane)
-            self._fill(service)
+        for service, service_queue in self._service_queues.items():
+            self._refuse_unservable(service_queue)
+            self._assign_slots(service)
 
     # What opens.
 
-    def _late_wait_s(
+    def _overdue_wait_s(
         self, pending: PendingRequest, opening: wait_limits.Opening, now: float
     ) -> float:
         left_s = pending.ctx.deadline - now
-        late_s = wait_limits.overdue_wait_s(pending.spec.objective_s, left_s)
+        overdue_s = wait_limits.overdue_wait_s(
+            pending.spec.objective_s, left_s
+        )
         if opening.in_s is None:
-            return late_s
-        answer_s = self._known.answer_s(pending)
+            return overdue_s
+        answer_estimate_s = self._known.answer_estimate_s(pending)
         return max(
-            late_s, wait_limits.opening_wait_s(opening, answer_s, left_s)
+            overdue_s,
+            wait_limits.opening_wait_s(opening, answer_estimate_s, left_s),
         )
 
     def _retry_s(
-        self, pending: PendingRequest, late_s: float, now: float
+        self, pending: PendingRequest, overdue_s: float, now: float
     ) -> float:
         # The overload as it is on arrival; the wait until the refusal is
         # short against it.
-        lane = self._lane(pending.spec.service)
-        lasted_s = lane.overload.duration_s(now)
+        service_queue = self._service_queue(pending.spec.service)
+        lasted_s = service_queue.overload.duration_s(now)
         if lasted_s is None:
-            return late_s
+            return overdue_s
         left_s = pending.ctx.deadline - now
         return overload.retry_delay_s(
-            max(late_s, returning_callers.min_return_delay_s(left_s)),
+            max(overdue_s, returning_callers.min_return_delay_s(left_s)),
             lasted_s,
-            left_s - self._known.answer_s(pending) - late_s,
+            left_s - self._known.answer_estimate_s(pending) - overdue_s,
         )
 
-    def _nobody(
+    def _no_upstream(
         self, pending: PendingRequest, opening: wait_limits.Opening, now: float
     ) -> NotRun:
-        why = self._known.why_nobody(pending, now)
+        details = self._known.explain_ineligible(pending, now)
         opens = 'nothing opens'
-        retry_s = NOBODY_RETRY_S
+        retry_s = NO_UPSTREAM_RETRY_S
         if opening.in_s is not None:
             opens = f'one opens in {opening.in_s:.2f} s'
             retry_s = admission.retry_after_s(opening.in_s)
         service = pending.spec.service
-        reason = f'no upstream can run {service!r} now ({why}; {opens})'
+        reason = f'no upstream can run {service!r} now ({details}; {opens})'
         return NotRun(reason, 503, retry_s)
 
     # How places are found.
 
-    def _wait(self, pending: PendingRequest, plan: Plan) -> Slot | NotRun:
+    def _wait_in_stages(
+        self, pending: PendingRequest, plan: Plan
+    ) -> Slot | NotRun:
         pending.slot = events.AsyncResult()
         began = self._now()
         try:
@@ -357,36 +385,36 @@
                         return pending.slot.value
         except BaseException:
             # The caller has gone: what it was given in this moment is free.
-            given = pending.slot.value if pending.slot.ready() else None
-            if isinstance(given, Slot):
-                self.release(pending, given)
+            assigned = pending.slot.value if pending.slot.ready() else None
+            if isinstance(assigned, Slot):
+                self.release(pending, assigned)
             raise
         finally:
             self.stop_waiting(pending)
         return no_slot_in_time(self._now() - began, plan)
 
-    def _refuse_hopeless(self, lane: ServiceQueue) -> None:
+    def _refuse_unservable(self, service_queue: ServiceQueue) -> None:
         # The weights that a stream was begun on may go while it waits.
         now = self._now()
-        for item in lane.resumed.queued_before(now):
+        for item in service_queue.resumed.queued_before(now):
             pending = self._waiting[item.ctx.request_id]
-            if pending.slot.ready() or self.may_host(pending):
+            if pending.slot.ready() or self.is_servable(pending):
                 continue
             pending.slot.set(
-                self._nobody(pending, wait_limits.NO_OPENING, now)
+                self._no_upstream(pending, wait_limits.NO_OPENING, now)
             )
 
-    def _may_wait_late(
-        self, lane: ServiceQueue, pending: PendingRequest
+    def _may_wait_overdue(
+        self, service_queue: ServiceQueue, pending: PendingRequest
     ) -> bool:
         now = self._now()
         return wait_limits.may_wait_overdue(
-            len(lane.late),
-            lane.late_served_lately(now),
+            len(service_queue.overdue),
+            service_queue.overdue_served_recently(now),
             self._known.opening(pending, now).slots,
         )
 
-    def _offer(
+    def _enqueue(
         self, queue: FairQueue, pending: PendingRequest, retry_s: float
     ) -> None:
         ctx = pending.ctx
@@ -397,68 +425,80 @@
                 wait_s = admission.retry_after_s(retry_s)
                 victim.slot.set(NotRun('too many wait', 503, wait_s))
 
-    def _fill_soon(self, service: str) -> None:
+    def _assign_soon(self, service: str) -> None:
         # Reports come from each agent several times a second.
-        if service in self._due or self._lane(service).is_empty:
+        if (
+            service in self._assignments_due
+            or self._service_queue(service).is_empty
+        ):
             return
-        self._due.add(service)
-        gevent.spawn_later(FILL_WAIT_S, self._fill_due, service)
+        self._assignments_due.add(service)
+        gevent.spawn_later(ASSIGN_DELAY_S, self._assign_due, service)
 
-    def _fill_due(self, service: str) -> None:
-        self._due.discard(service)
-        self._fill(service)
+    def _assign_due(self, service: str) -> None:
+        self._assignments_due.discard(service)
+        self._assign_slots(service)
 
-    def _fill(self, service: str) -> None:
-        lane = self._lane(service)
-        if lane.is_empty:
+    def _assign_slots(self, service: str) -> None:
+        service_queue = self._service_queue(service)
+        if service_queue.is_empty:
             return
         now = self._now()
-        survey = self._known.survey(service, now)
+        placement_round = self._known.start_round(service, now)
         is_engine = self._known.cost(service) is not None
-        reserve = lane.overload.overdue_reserve(now)
-        for queue in lane.queues:
-            aside: list[QueuedRequest] = []
-            needs_slot = is_engine and queue is lane.late
-            is_shared = is_engine and queue is not lane.resumed
-            while len(queue) and len(aside) < MAX_ASIDE:
-                if not survey.has_room(needs_slot, reserve, is_shared):
+        reserve = service_queue.overload.overdue_reserve(now)
+        for queue in service_queue.queues:
+            skipped: list[QueuedRequest] = []
+            needs_slot = is_engine and queue is service_queue.overdue
+            is_shared = is_engine and queue is not service_queue.resumed
+            while len(queue) and len(skipped) < MAX_SKIPPED:
+                if not placement_round.has_room(
+                    needs_slot, reserve, is_shared
+                ):
                     break
                 item = queue.pop(now)
                 if item is None:
                     break
                 pending = self._waiting[item.ctx.request_id]
-                if not self._give(lane, pending, survey, reserve, now):
-                    aside.append(item)
-            for item in aside:
+                if not self._assign_one(
+                    service_queue, pending, placement_round, reserve, now
+                ):
+                    skipped.append(item)
+            for item in skipped:
                 queue.put_back(item)
 
-    def _give(
+    def _assign_one(
         self,
-        lane: ServiceQueue,
+        service_queue: ServiceQueue,
         pending: PendingRequest,
-        survey: Survey,
+        placement_round: PlacementRound,
         reserve: float,
         now: float,
     ) -> bool:
-        left_s = self._left_s(pending, now)
-        if survey.is_hopeless(pending, left_s):
+        left_s = self._objective_left_s(pending, now)
+        if placement_round.is_unplaceable(pending, left_s):
             return False
         target = self._known.choose(
-            pending, survey, left_s, lane.unit_s, reserve, now
+            pending,
+            placement_round,
+            left_s,
+            service_queue.unit_s,
+            reserve,
+            now,
         )
         if target is None:
-            survey.found_nothing(pending, left_s)
+            placement_round.record_unplaceable(pending, left_s)
             return False
-        if pending.is_late:
-            lane.note_late_served(now)
+        if pending.is_overdue:
+            service_queue.record_overdue_served(now)
         elif pending.is_new and not pending.spec.model:
             # Others are on time or not once their prompt is read.
-            lane.overload.record(False, now)
-        pending.slot.set(self._taken(pending, target, now))
-        survey.taken(target)
+            service_queue.overload.record(False, now)
+        pending.slot.set(self._take_slot(pending, target, now))
+        placement_round.slot_taken(target)
         return True
 
-    def _taken(
+    def _take_slot(
         self, pending: PendingRequest, target: Target, now: float
     ) -> Slot:
         target.load.on_sent(pending.work, now)
@@ -470,17 +510,21 @@
             )
         return Slot(target, target.versions.get(model) if model else None)
 
-    def _left_s(self, pending: PendingRequest, now: float) -> float | None:
+    def _objective_left_s(
+        self, pending: PendingRequest, now: float
+    ) -> float | None:
         # None for a request that can't be on time.
         if pending.resuming:
             return wait_limits.RESUME_START_LIMIT_S
-        if pending.is_late:
+        if pending.is_overdue:
             return None
         spent_s = pending.spec.elapsed_s + now - pending.ctx.arrived
         return pending.spec.objective_s - spent_s
 
-    def _lane(self, service: str) -> ServiceQueue:
-        lane = self._lanes.get(service)
-        if lane is None:
-            lane = self._lanes[service] = ServiceQueue(service)
-        return lane
+    def _service_queue(self, service: str) -> ServiceQueue:
+        service_queue = self._service_queues.get(service)
+        if service_queue is None:
+            service_queue = self._service_queues[service] = ServiceQueue(
+                service
+            )
+        return service_queue
--- a/packages/burdockchute-entry/burdockchute_entry/straight/sending.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/sending.py
@@ -29,12 +29,12 @@
 from burdockchute.upstreams.connections import HeaderList
 from burdockchute.upstreams.connections import NotConnected
 from burdockchute.upstreams.connections import Waiting
-from burdockchute_entry.straight.attempts import Elsewhere
 from burdockchute_entry.straight.attempts import Failed
-from burdockchute_entry.straight.attempts import Lost
-from burdockchute_entry.straight.attempts import Overtaken
-from burdockchute_entry.straight.attempts import Sent
-from burdockchute_entry.straight.attempts import Silent
+from burdockchute_entry.straight.attempts import NotExecuted
+from burdockchute_entry.straight.attempts import OutcomeUnknown
+from burdockchute_entry.straight.attempts import SentRequest
+from burdockchute_entry.straight.attempts import UpstreamSilent
+from burdockchute_entry.straight.attempts import WeightsReplaced
 from burdockchute_entry.straight.scheduler import Scheduler
 from burdockchute_entry.straight.service_queues import PendingRequest
 from burdockchute_entry.straight.service_queues import RequestSpec
@@ -45,11 +45,11 @@
 
 # An upstream answers by itself when the time that it was given is over; its
 # own answer says more than ours, so it is waited for this much longer.
-LAST_ANSWER_S = 0.1
+ANSWER_GRACE_S = 0.1
 
 # With less time left than this a request is not sent: no upstream could
 # answer it, and it would only take a place.
-LEAST_TIME_S = 0.02
+MIN_TIME_LEFT_S = 0.02
 
 MISDIRECTED = 421
 
@@ -59,14 +59,14 @@
 class Dependencies(NamedTuple):
     """What all exchanges of an entry share.
 
-    `crash` tells other entries of a request that was in flight in a crash.
+    `report_crash` tells other entries of a request in flight in a crash.
     """
 
     adapter: Adapter
     scheduler: Scheduler
     suspects: Suspects
     now: Callable[[], float]
-    crash: Callable[[CrashSeen], None] = lambda seen: None
+    report_crash: Callable[[CrashSeen], None] = lambda seen: None
 
 
 class Sender:
@@ -74,14 +74,14 @@
 
     `runs` counts the upstreams that may have run it, `sends` how often it
     was to be sent. `last_event` is the id of the last event that its caller
-    has. Every Sent is ended by exactly one of `settle`, `fail`, `give_up`,
-    `broke` and `refused`, which free its place.
+    has. Every Sent is ended by exactly one of `finish`, `fail`, `time_out`,
+    `mark_broken` and `take_refusal`, which free its place.
     """
 
     def __init__(
         self,
-        tools: Dependencies,
-        asked: Asked,
+        deps: Dependencies,
+        inbound: Asked,
         ctx: RequestContext,
         route: Route,
         spec: RequestSpec,
@@ -89,43 +89,45 @@
         self.runs = 0
         self.sends = 0
         self.upstream = ''
-        self.last_event = asked.resume_after
-        self.asked = asked
+        self.last_event = inbound.resume_after
+        self.inbound = inbound
         self.ctx = ctx
         self.route = route
         work = Work(admission.cost_of(ctx), False, ctx.prompt_tokens, ())
         self.pending = PendingRequest(ctx, work, spec)
-        self._tools = tools
-        self._begun: set[Connection] = set()
+        self._deps = deps
+        self._started: set[Connection] = set()
         # Of the rest of a stream that has begun.
         self._rejections = 0
 
     # Places.
 
-    def next_place(self) -> Slot | NotRun:
+    def next_slot(self) -> Slot | NotRun:
         """Wait for a place."""
-        now = self._tools.now()
-        if self.ctx.deadline - now < LEAST_TIME_S:
+        now = self._deps.now()
+        if self.ctx.deadline - now < MIN_TIME_LEFT_S:
             return NotRun('its time is over', 503, 0.0)
-        slot = self._tools.scheduler.wait_for_slot(
+        slot = self._deps.scheduler.wait_for_slot(
             self.pending, self.ctx.deadline
         )
         if isinstance(slot, Slot):
             load = slot.target.load
             logs.event(
                 'request_placed',
-                request_id=self.asked.id,
+                request_id=self.inbound.id,
                 upstream=slot.target.id,
                 version=slot.version,
-                waited_ms=int((self._tools.now() - now) * 1000),
+                waited_ms=int((self._deps.now() - now) * 1000),
                 ours=load.ours,
                 others=load.others,
                 report_age_ms=int((now - load.reported_at) * 1000),
             )
         return slot
 
-    def may_go_on(
-        self, attempt: Elsewhere | Lost | Failed, wait_s: float = 0.0
+    def may_retry(
+        self,
+        attempt: NotExecuted | OutcomeUnknown | Failed,
+        wait_s: float = 0.0,
     ) -> bool:
         """Tell whether another attempt may follow; takes it of the budget.
 
@@ -135,7 +137,7 @@
             return False
         if self._rejections >= retries.MAX_REJECTIONS:
             return False
-        if isinstance(attempt, Elsewhere):
+        if isinstance(attempt, NotExecuted):
             return not attempt.arrived or self._take_retry(wait_s)
         if isinstance(attempt, Failed) and self.route.kind is Kind.STREAM:
             return False
@@ -144,24 +146,24 @@
 
     def _take_retry(self, wait_s: float) -> bool:
         budgets, service = (
-            self._tools.scheduler.retry_budgets,
+            self._deps.scheduler.retry_budgets,
             self.pending.spec.service,
         )
-        until = self._tools.now() + wait_s
+        deadline = self._deps.now() + wait_s
         while True:
-            now = self._tools.now()
+            now = self._deps.now()
             if budgets.take(service, now, self.pending.resuming):
                 return True
             next_s = budgets.next_retry_in_s(
                 service, now, self.pending.resuming
             )
-            if now + next_s > until:
+            if now + next_s > deadline:
                 return False
             gevent.sleep(next_s)
 
     # Dispatch.
 
-    def dispatch(self, slot: Slot) -> Sent | Elsewhere:
+    def dispatch(self, slot: Slot) -> SentRequest | NotExecuted:
         """Connect to the upstream of a place and send the request there.
 
         Raises Broken if it could not be sent whole; the place is free then.
@@ -169,235 +171,241 @@
         target = slot.target
         self.upstream = target.id
         self.sends += 1
-        careful = not self.route.may_repeat
+        non_idempotent = not self.route.may_repeat
         try:
-            conn = target.connection(self._tools.now(), careful)
+            conn = target.connection(self._deps.now(), non_idempotent)
         except NotConnected as exc:
-            target.record_failure(self._tools.now())
+            target.record_failure(self._deps.now())
             self.pending.avoided.add(target.id)
-            self._tools.scheduler.release(self.pending, slot)
-            return Elsewhere(f'no connection: {exc}', False)
+            self._deps.scheduler.release(self.pending, slot)
+            return NotExecuted(f'no connection: {exc}', False)
         except BaseException:
-            self._tools.scheduler.release(self.pending, slot)
+            self._deps.scheduler.release(self.pending, slot)
             raise
-        begin_by = None
+        start_by = None
         if slot.version is not None:
-            begin_by = self._tools.scheduler.ends_at(
+            start_by = self._deps.scheduler.ends_at(
                 self.pending.spec.model, slot.version
             )
-        return Sent(slot, conn, self._tools.now(), begin_by)
+        return SentRequest(slot, conn, self._deps.now(), start_by)
 
-    def send(self, sent: Sent) -> None:
+    def send(self, sent: SentRequest) -> None:
         """Send the request; raises Broken."""
-        onward = Onward(
+        forwarded = Onward(
             instance=sent.slot.target.id,
             customer=self.ctx.customer,
-            time_left_s=max(LEAST_TIME_S, self.ctx.deadline - sent.at),
+            time_left_s=max(MIN_TIME_LEFT_S, self.ctx.deadline - sent.sent_at),
             version=sent.slot.version,
             resume_after=self.last_event,
             urgency=_urgency(self.ctx.priority),
         )
-        data = self._tools.adapter.encode_request(self.asked, onward)
+        data = self._deps.adapter.encode_request(self.inbound, forwarded)
         if self.sends == 1:
-            self._tools.scheduler.retry_budgets.record_first_attempt(
-                self.pending.spec.service, sent.at
+            self._deps.scheduler.retry_budgets.record_first_attempt(
+                self.pending.spec.service, sent.sent_at
             )
         self.runs += 1
-        sent.conn.send(data, self.asked.method, self._is_ours)
+        sent.conn.send(data, self.inbound.method, self._is_own_answer)
 
-    def _is_ours(self, status: int, headers: HeaderList) -> bool:
+    def _is_own_answer(self, status: int, headers: HeaderList) -> bool:
         # An answer to an earlier request may come late on a kept connection.
         # A refusal may name no request; a success always does.
-        wanted = self._tools.adapter.request_id_header.lower()
+        wanted = self._deps.adapter.request_id_header.lower()
         for name, value in headers:
             if name.lower() == wanted:
-                return value.strip() == self.asked.id
+                return value.strip() == self.inbound.id
         return status >= 400
 
     # Reading. Each gives None when the time of the request is over, and
     # raises Broken.
 
-    def head(self, sent: Sent) -> AnswerHead | None:
+    def read_head(self, sent: SentRequest) -> AnswerHead | None:
         """Wait for the head of the answer."""
-        read = self._patiently(sent, sent.conn.head)
-        return self._tools.adapter.decode_answer(*read) if read else None
+        read = self._read_until_deadline(sent, sent.conn.head)
+        return self._deps.adapter.decode_answer(*read) if read else None
 
-    def part(
-        self, sent: Sent, until: Callable[[], bool] | None = None
+    def read_part(
+        self, sent: SentRequest, should_stop: Callable[[], bool] | None = None
     ) -> bytes | None:
         """Wait for more of the body; gives nothing at its end.
 
-        Raises Waiting as well, once `until` is so and nothing came.
+        Raises Waiting as well, once `should_stop` is so and nothing came.
         """
-        return self._patiently(sent, sent.conn.body, until)
+        return self._read_until_deadline(sent, sent.conn.body, should_stop)
 
-    def body(
-        self, sent: Sent, read: Callable[[], bytes | None] | None = None
+    def read_body(
+        self,
+        sent: SentRequest,
+        read_next: Callable[[], bytes | None] | None = None,
     ) -> bytes | None:
         """Wait for the whole body; `read` gives a part in place of `part`."""
-        read = read or (lambda: self.part(sent))
+        read_next = read_next or (lambda: self.read_part(sent))
         parts: list[bytes] = []
         size = 0
-        while data := read():
+        while data := read_next():
             size += len(data)
             if size > MAX_ANSWER_BYTES:
                 raise Broken(f'an answer over {MAX_ANSWER_BYTES} bytes', False)
             parts.append(data)
         return None if data is None else b''.join(parts)
 
-    def note_begun(self, sent: Sent) -> None:
+    def mark_started(self, sent: SentRequest) -> None:
         """Note that the answer has begun: the prompt was read there."""
-        self._begun.add(sent.conn)
-        self._tools.scheduler.mark_started(self.pending, sent.slot)
+        self._started.add(sent.conn)
+        self._deps.scheduler.mark_started(self.pending, sent.slot)
 
-    def _patiently(
+    def _read_until_deadline(
         self,
-        sent: Sent,
+        sent: SentRequest,
         read: Callable[[], Read],
-        until: Callable[[], bool] | None = None,
+        should_stop: Callable[[], bool] | None = None,
     ) -> Read | None:
         target = sent.slot.target
         while True:
             try:
                 result = read()
             except Waiting:
-                now = self._tools.now()
-                if now > self.ctx.deadline + LAST_ANSWER_S:
+                now = self._deps.now()
+                if now > self.ctx.deadline + ANSWER_GRACE_S:
                     return None
-                self._check_begun(sent, now)
-                if until is not None and until():
+                self._check_start_deadline(sent, now)
+                if should_stop is not None and should_stop():
                     raise
                 silent = health.is_silent(
-                    target.last_received_at, sent.at, now
+                    target.last_received_at, sent.sent_at, now
                 )
                 if silent and self.route.may_repeat:
-                    raise Silent('the upstream is silent', False) from None
+                    raise UpstreamSilent(
+                        'the upstream is silent', False
+                    ) from None
                 continue
-            target.last_received_at = self._tools.now()
+            target.last_received_at = self._deps.now()
             return result
 
     def release(self, slot: Slot) -> None:
         """Give back a place on which nothing was sent."""
-        self._tools.scheduler.release(self.pending, slot)
+        self._deps.scheduler.release(self.pending, slot)
 
-    def note_silent(self, sent: Sent) -> None:
+    def mark_silent(self, sent: SentRequest) -> None:
         """Note that an upstream has fallen silent; it keeps the request."""
         target = sent.slot.target
         self.pending.avoided.add(target.id)
-        target.record_failure(self._tools.now())
+        target.record_failure(self._deps.now())
 
-    def _check_begun(self, sent: Sent, now: float) -> None:
+    def _check_start_deadline(self, sent: SentRequest, now: float) -> None:
         # What still waits in its engine would begin on weights that may
         # begin nothing any more; nobody would notice but the reader of a
         # page of last week's weights.
-        if sent.conn in self._begun:
+        if sent.conn in self._started:
             return
-        if versions.must_cancel(sent.begin_by, sent.at, now):
-            raise Overtaken('its weights are replaced', False)
+        if versions.must_cancel(sent.start_by, sent.sent_at, now):
+            raise WeightsReplaced('its weights are replaced', False)
 
     # Ends.
 
-    def settle(self, sent: Sent, head: AnswerHead) -> None:
+    def finish(self, sent: SentRequest, head: AnswerHead) -> None:
         """End it with the whole answer."""
-        self._keep(sent, head)
-        self._tools.suspects.answered(self.ctx.fingerprint)
-        self._tools.scheduler.mark_answered(
-            self.pending, sent.slot, self._took(sent)
+        self._keep_connection(sent, head)
+        self._deps.suspects.answered(self.ctx.fingerprint)
+        self._deps.scheduler.mark_answered(
+            self.pending, sent.slot, self._elapsed_s(sent)
         )
 
-    def fail(self, sent: Sent, head: AnswerHead) -> None:
+    def fail(self, sent: SentRequest, head: AnswerHead) -> None:
         """End it with the upstream's word that it failed."""
-        self._keep(sent, head)
+        self._keep_connection(sent, head)
         self.pending.avoided.add(sent.slot.target.id)
-        self._tools.scheduler.mark_failed(
-            self.pending, sent.slot, self._took(sent)
+        self._deps.scheduler.mark_failed(
+            self.pending, sent.slot, self._elapsed_s(sent)
         )
 
-    def give_up(self, sent: Sent) -> None:
+    def time_out(self, sent: SentRequest) -> None:
         """End it as too late."""
         sent.conn.close()
-        self._tools.scheduler.mark_failed(
-            self.pending, sent.slot, self._took(sent)
+        self._deps.scheduler.mark_failed(
+            self.pending, sent.slot, self._elapsed_s(sent)
         )
 
-    def abandon(self, sent: Sent) -> None:
+    def abandon(self, sent: SentRequest) -> None:
         """End it for a reason that is not the upstream's."""
         sent.conn.close()
-        self._tools.scheduler.release(self.pending, sent.slot)
+        self._deps.scheduler.release(self.pending, sent.slot)
 
-    def refused(self, sent: Sent, head: AnswerHead) -> Elsewhere:
+    def take_refusal(self, sent: SentRequest, head: AnswerHead) -> NotExecuted:
         """End it with the upstream's word that it did not run it."""
         self.runs -= 1
         target = sent.slot.target
-        self._finish_refusal(sent, head)
+        self._drain_refusal(sent, head)
         if head.status == MISDIRECTED:
             # Another instance stands there, or other weights are loaded,
             # than the list or its agent last said.
             target.versions = {}
-            target.record_failure(self._tools.now())
-        self._tools.scheduler.mark_failed(
-            self.pending, sent.slot, self._took(sent)
+            target.record_failure(self._deps.now())
+        self._deps.scheduler.mark_failed(
+            self.pending, sent.slot, self._elapsed_s(sent)
         )
         if self.pending.resuming and head.status != MISDIRECTED:
             self._rejections += 1
-            self.pending.rejected[target.id] = self._tools.now()
+            self.pending.rejected[target.id] = self._deps.now()
         else:
             self.pending.avoided.add(target.id)
-        return Elsewhere(f'refused with status {head.status}', True)
+        return NotExecuted(f'refused with status {head.status}', True)
 
-    def _finish_refusal(self, sent: Sent, head: AnswerHead) -> None:
+    def _drain_refusal(self, sent: SentRequest, head: AnswerHead) -> None:
         # Its head has said all; what is wrong with the rest only costs the
         # connection.
         try:
-            whole = self.body(sent) is not None
+            drained = self.read_body(sent) is not None
         except Broken:
-            whole = False
-        if whole:
-            self._keep(sent, head)
+            drained = False
+        if drained:
+            self._keep_connection(sent, head)
         else:
             sent.conn.close()
 
-    def broke(self, sent: Sent, exc: Broken) -> Lost:
+    def mark_broken(self, sent: SentRequest, exc: Broken) -> OutcomeUnknown:
         """End it with an answer that did not come whole."""
         target = sent.slot.target
         self.pending.avoided.add(target.id)
-        if isinstance(exc, Overtaken):
+        if isinstance(exc, WeightsReplaced):
             self.abandon(sent)
-            return Lost(str(exc))
+            return OutcomeUnknown(str(exc))
         sent.conn.close()
-        if exc.ended and not self.asked.resume_after:
-            self._suspect(sent)
-        target.record_failure(self._tools.now())
-        self._tools.scheduler.mark_failed(
-            self.pending, sent.slot, self._took(sent)
+        if exc.ended and not self.inbound.resume_after:
+            self._report_suspect(sent)
+        target.record_failure(self._deps.now())
+        self._deps.scheduler.mark_failed(
+            self.pending, sent.slot, self._elapsed_s(sent)
         )
-        return Lost(str(exc))
+        return OutcomeUnknown(str(exc))
 
-    def _suspect(self, sent: Sent) -> None:
+    def _report_suspect(self, sent: SentRequest) -> None:
         target = sent.slot.target
         alone = target.load.ours == 1
         fingerprint = self.ctx.fingerprint
-        convicted = self._tools.suspects.crashed(
-            fingerprint, target.id, alone, self._tools.now()
+        convicted = self._deps.suspects.crashed(
+            fingerprint, target.id, alone, self._deps.now()
+        )
+        self._deps.report_crash(
+            CrashSeen(fingerprint, target.id, alone, convicted)
         )
-        self._tools.crash(CrashSeen(fingerprint, target.id, alone, convicted))
         logs.warn(
             'upstream_broke_off',
-            request_id=self.asked.id,
+            request_id=self.inbound.id,
             upstream=target.id,
             fingerprint=fingerprint,
             alone=alone,
             convicted=convicted,
         )
 
-    def _keep(self, sent: Sent, head: AnswerHead) -> None:
+    def _keep_connection(self, sent: SentRequest, head: AnswerHead) -> None:
         if head.idle_s is None:
             sent.conn.close()
             return
-        sent.slot.target.keep(sent.conn, head.idle_s, self._tools.now())
+        sent.slot.target.keep(sent.conn, head.idle_s, self._deps.now())
 
-    def _took(self, sent: Sent) -> float:
-        return self._tools.now() - sent.at
+    def _elapsed_s(self, sent: SentRequest) -> float:
+        return self._deps.now() - sent.sent_at
 
 
 def _urgency(priority: int) -> int:
--- a/packages/burdockchute-entry/burdockchute_entry/straight/service_queues.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/service_queues.py
@@ -24,7 +24,7 @@
     """Where a request may run.
 
     `model` is empty for a service without weights. `elapsed_s` is what its
-    caller has spent on earlier sendings. `exact` is the version that a
+    caller has spent on earlier sendings. `exact_version` is the version that a
     stream was begun on, which a resumed one has to keep.
     """
 
@@ -32,23 +32,23 @@
     model: str
     objective_s: float
     elapsed_s: float = 0.0
-    exact: int | None = None
+    exact_version: int | None = None
 
 
 class ServiceQueue(Pool):
     """The requests that wait for one service.
 
     Streams that have begun wait in `resumed` and come first, then those in
-    `queue`, which can still be on time, then those in `late`.
+    `queue`, which can still be on time, then those in `overdue`.
     """
 
     def __init__(self, service: str) -> None:
         super().__init__(f'service/{service}')
         self.queue.max_waiting = MAX_WAITING
         self.resumed = FairQueue(MAX_WAITING)
-        self.late = FairQueue(MAX_WAITING)
+        self.overdue = FairQueue(MAX_WAITING)
         self.overload = OverloadDetector()
-        self._late_served: deque[float] = deque()
+        self._overdue_served: deque[float] = deque()
 
     @property
     def is_empty(self) -> bool:
@@ -58,19 +58,19 @@
     @property
     def queues(self) -> tuple[FairQueue, FairQueue, FairQueue]:
         """The queues, in the order in which they get places."""
-        return self.resumed, self.queue, self.late
+        return self.resumed, self.queue, self.overdue
 
-    def note_late_served(self, now: float) -> None:
+    def record_overdue_served(self, now: float) -> None:
         """Note that one of the late got a place."""
-        self._late_served.append(now)
+        self._overdue_served.append(now)
 
-    def late_served_lately(self, now: float) -> int:
+    def overdue_served_recently(self, now: float) -> int:
         """Give how many of the late got a place lately."""
-        while self._late_served:
-            if now - self._late_served[0] <= wait_limits.RECENT_WINDOW_S:
+        while self._overdue_served:
+            if now - self._overdue_served[0] <= wait_limits.RECENT_WINDOW_S:
                 break
-            self._late_served.popleft()
-        return len(self._late_served)
+            self._overdue_served.popleft()
+        return len(self._overdue_served)
 
 
 class Slot(NamedTuple):
@@ -84,7 +84,7 @@
     """One request that wants a place.
 
     `avoided` are targets that failed it, `rejected` when others had no room
-    for it; `is_new` as long as it may be on time, `is_late` while it waits
+    for it; `is_new` as long as it may be on time, `is_overdue` while it waits
     behind those, `resuming` once its caller has a part of its answer.
     """
 
@@ -97,7 +97,7 @@
         self.avoided: set[str] = set()
         self.rejected: dict[str, float] = {}
         self.is_new = False
-        self.is_late = False
+        self.is_overdue = False
         self.resuming = False
         self.slot: events.AsyncResult = events.AsyncResult()
 
--- a/packages/burdockchute-entry/burdockchute_entry/straight/slow_links.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/slow_links.py
@@ -15,25 +15,25 @@
 from burdockchute.model.link_news import ProbeWanted
 from burdockchute_entry.straight.targets import Target
 
-Ask = Callable[[ProbeWanted | LinkTold], None]
+SendLinkMessage = Callable[[ProbeWanted | LinkTold], None]
 
 
 class SlowLinks:
     """The state of each link that was ever suspected, by its agent.
 
-    `ask` has a probe sent, or tells the other entries.
+    `send` has a probe sent, or tells the other entries.
     """
 
-    def __init__(self, ask: Ask) -> None:
-        self._ask = ask
+    def __init__(self, send: SendLinkMessage) -> None:
+        self._send = send
         self._states: dict[str, LinkState] = {}
-        self._usual_s: dict[str, float] = {}
-        self._known = 0
+        self._usual_start_s: dict[str, float] = {}
+        self._link_count = 0
 
     def record_first_event(self, service: str, first_event_s: float) -> None:
         """Note what a request took from its sending to its first event."""
-        self._usual_s[service] = slow_links.usual_start_s(
-            self._usual_s.get(service, 0.0), first_event_s
+        self._usual_start_s[service] = slow_links.usual_start_s(
+            self._usual_start_s.get(service, 0.0), first_event_s
         )
 
     def is_held(self, agent: str, now: float) -> bool:
@@ -46,13 +46,13 @@
         agents = {_agent_of(target): target for target in targets}
         for agent in self._states.keys() - agents.keys():
             del self._states[agent]
-        self._known = len(agents)
+        self._link_count = len(agents)
         for agent, target in agents.items():
-            self._look_at(agent, target, now)
-        if not slow_links.may_hold(self._own_count(), self._known):
-            self._clear()
+            self._check_link(agent, target, now)
+        if not slow_links.may_hold(self._own_slow_count(), self._link_count):
+            self._clear_own()
         for agent, target in agents.items():
-            self._tell_of(agent, now)
+            self._announce(agent, now)
             target.is_held = self.is_held(agent, now)
 
     def handle_event(self, event: LinkEvent, now: float) -> None:
@@ -67,7 +67,7 @@
                 state = slow_links.peer_reported(before, slow, now)
             case LinkLost():
                 state = LinkState()
-        self._keep(event.agent, before, state)
+        self._store(event.agent, before, state)
 
     def _may_hold_one_more(self, agent: str, now: float) -> bool:
         held = sum(
@@ -75,19 +75,19 @@
             for name, state in self._states.items()
             if name != agent
         )
-        return slow_links.may_hold(held + 1, self._known)
+        return slow_links.may_hold(held + 1, self._link_count)
 
-    def _own_count(self) -> int:
+    def _own_slow_count(self) -> int:
         return sum(s.slow_at is not None for s in self._states.values())
 
-    def _clear(self) -> None:
+    def _clear_own(self) -> None:
         for agent, state in list(self._states.items()):
             if state.slow_at is not None:
-                self._keep(agent, state, state._replace(slow_at=None))
+                self._store(agent, state, state._replace(slow_at=None))
 
-    def _look_at(self, agent: str, target: Target, now: float) -> None:
+    def _check_link(self, agent: str, target: Target, now: float) -> None:
         before = self._states.get(agent)
-        usual_s = self._usual_s.get(target.upstream.service, 0.0)
+        usual_s = self._usual_start_s.get(target.upstream.service, 0.0)
         suspect = slow_links.is_suspect(target.longest_wait_s(now), usual_s)
         if before is None:
             if not suspect:
@@ -98,16 +98,16 @@
             # To the microsecond, as it comes back.
             sent_at = round(now, 6)
             state = state._replace(probe_at=sent_at)
-            self._ask(ProbeWanted(agent, sent_at))
-        self._keep(agent, before, state)
+            self._send(ProbeWanted(agent, sent_at))
+        self._store(agent, before, state)
 
-    def _tell_of(self, agent: str, now: float) -> None:
+    def _announce(self, agent: str, now: float) -> None:
         state = self._states.get(agent)
         if state is not None and slow_links.must_report(state, now):
             self._states[agent] = state._replace(reported_slow_at=now)
-            self._ask(LinkTold(agent, True))
+            self._send(LinkTold(agent, True))
 
-    def _keep(self, agent: str, before: LinkState, state: LinkState) -> None:
+    def _store(self, agent: str, before: LinkState, state: LinkState) -> None:
         was_slow, is_slow = before.slow_at, state.slow_at
         if (was_slow is None) != (is_slow is None):
             logs.event(
@@ -118,7 +118,7 @@
             and is_slow is None
             and before.reported_slow_at
         ):
-            self._ask(LinkTold(agent, False))
+            self._send(LinkTold(agent, False))
             state = state._replace(reported_slow_at=None)
         self._states[agent] = state
 
--- a/packages/burdockchute-entry/burdockchute_entry/straight/streams.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/streams.py
@@ -20,14 +20,14 @@
 from burdockchute.upstreams.connections import LOOK_S
 from burdockchute.upstreams.connections import Waiting
 from burdockchute.upstreams.events import Event
-from burdockchute_entry.straight.attempts import Lost
-from burdockchute_entry.straight.attempts import Sent
-from burdockchute_entry.straight.attempts import Silent
-from burdockchute_entry.straight.handover import Begun
+from burdockchute_entry.straight.attempts import OutcomeUnknown
+from burdockchute_entry.straight.attempts import SentRequest
+from burdockchute_entry.straight.attempts import UpstreamSilent
 from burdockchute_entry.straight.handover import cause_of
+from burdockchute_entry.straight.handover import EventBatch
 from burdockchute_entry.straight.handover import Handover
-from burdockchute_entry.straight.handover import NoRest
-from burdockchute_entry.straight.handover import Run
+from burdockchute_entry.straight.handover import NoContinuation
+from burdockchute_entry.straight.handover import StreamRun
 from burdockchute_entry.straight.replies import StreamBroken
 from burdockchute_entry.straight.sending import Dependencies
 from burdockchute_entry.straight.sending import Sender
@@ -37,7 +37,7 @@
 HANDOVER_POLL_S = 0.05
 
 # How often to seek the rest of a stream whose upstream stays silent.
-SEEK_S = 0.5
+HANDOVER_RETRY_S = 0.5
 
 
 class Stream:
@@ -47,89 +47,93 @@
     """
 
     def __init__(
-        self, tools: Dependencies, sender: Sender, sent: Sent, head: AnswerHead
+        self,
+        deps: Dependencies,
+        sender: Sender,
+        sent: SentRequest,
+        head: AnswerHead,
     ) -> None:
-        self.count = 0
+        self.event_count = 0
         self.longest_gap_s = 0.0
-        self.began_at = 0.0
+        self.first_event_at = 0.0
         self.head = head
         self.interruptions: list[str] = []
-        self._tools = tools
+        self._deps = deps
         self._sender = sender
-        self._run: Run | None = Run(sender, sent, head)
+        self._run: StreamRun | None = StreamRun(sender, sent, head)
         self._handover: Handover | None = None
         self._may_move = True
         # When the rest was last sought since this run was heard.
-        self._sought_at: float | None = None
-        self._lost: Lost | None = None
-        self._event_at = 0.0
-        self._tokens_per_event = tools.scheduler.tokens_per_event(
+        self._handover_tried_at: float | None = None
+        self._last_loss: OutcomeUnknown | None = None
+        self._last_event_at = 0.0
+        self._tokens_per_event = deps.scheduler.tokens_per_event(
             sender.pending.spec.service
         )
 
-    def begin(self) -> Begun | None:
+    def read_first_batch(self) -> EventBatch | None:
         """Wait for the first events; None when the time is over.
 
         Raises Broken.
         """
         assert self._run is not None
-        begun = self._run.next()
-        self.began_at = self._event_at = self._tools.now()
-        return begun
+        batch = self._run.next_batch()
+        self.first_event_at = self._last_event_at = self._deps.now()
+        return batch
 
-    def events(self, begun: Begun) -> Iterator[bytes]:
+    def events(self, batch: EventBatch) -> Iterator[bytes]:
         """Give the events as they come; raises StreamBroken."""
         try:
-            yield from self._joined(self._new_only(begun.events))
-            while not begun.whole:
-                begun = self._next()
-                events = self._new_only(begun.events)
+            yield from self._emit(self._unseen(batch.events))
+            while not batch.complete:
+                batch = self._next_batch()
+                events = self._unseen(batch.events)
                 if events:
-                    self._note_gap()
-                yield from self._joined(events)
+                    self._record_gap()
+                yield from self._emit(events)
             self._cancel_handover()
             assert self._run is not None
-            if self._run.torn:
-                yield self._run.torn
+            if self._run.partial_event:
+                yield self._run.partial_event
             head = self._run.head
-            self._sender.settle(self._ended(), head)
+            self._sender.finish(self._detach_run(), head)
         finally:
             self._cancel_handover()
             if self._run is not None:
-                self._sender.abandon(self._ended())
+                self._sender.abandon(self._detach_run())
 
-    def _ended(self) -> Sent:
+    def _detach_run(self) -> SentRequest:
         """Give what an upstream has in hand, for whoever ends it."""
         assert self._run is not None
         sent, self._run = self._run.sent, None
         return sent
 
-    def _next(self) -> Begun:
+    def _next_batch(self) -> EventBatch:
         """Wait for more events of whichever run has them first."""
         while True:
             if self._run is None:
-                return self._next_elsewhere()
+                return self._next_from_handover()
             self._move_if_better()
             if self._handover is not None and self._handover.ready:
-                rest = self._take_over(self._handover)
-                if isinstance(rest, Begun):
-                    return rest
+                continuation = self._switch_over(self._handover)
+                if isinstance(continuation, EventBatch):
+                    return continuation
             try:
-                begun = self._run.next(self._is_rest_ready)
+                batch = self._run.next_batch(self._is_handover_ready)
             except Waiting:
                 continue
-            except Silent as exc:
-                self._seek_beside(exc)
+            except UpstreamSilent as exc:
+                self._start_parallel_handover(exc)
                 continue
             except Broken as exc:
-                self._seek_instead(exc)
+                self._replace_broken_run(exc)
                 continue
-            if begun is None:
+            if batch is None:
                 raise StreamBroken('its time is over')
-            self._note_heard()
-            return begun
+            self._on_batch_received()
+            return batch
 
-    def _new_only(self, events: list[Event]) -> list[Event]:
+    def _unseen(self, events: list[Event]) -> list[Event]:
         # The rest may begin before the last event that was passed on.
         last = self._sender.last_event
         if not last.isdigit():
@@ -140,19 +144,19 @@
             if not event.id.isdigit() or int(event.id) > int(last)
         ]
 
-    def _joined(self, events: list[Event]) -> Iterator[bytes]:
+    def _emit(self, events: list[Event]) -> Iterator[bytes]:
         if not events:
             return
         yield b''.join(event.data for event in events)
-        self.count += len(events)
+        self.event_count += len(events)
         for event in events:
             if event.id:
                 self._sender.last_event = event.id
 
-    def _note_gap(self) -> None:
-        now = self._tools.now()
-        self.longest_gap_s = max(self.longest_gap_s, now - self._event_at)
-        self._event_at = now
+    def _record_gap(self) -> None:
+        now = self._deps.now()
+        self.longest_gap_s = max(self.longest_gap_s, now - self._last_event_at)
+        self._last_event_at = now
 
     # Elsewhere.
 
@@ -166,140 +170,147 @@
         # What two runs both bring is told by the numbers of the events.
         return self._may_resume and self._sender.last_event.isdigit()
 
-    def _seek_beside(self, exc: Silent) -> None:
+    def _start_parallel_handover(self, exc: UpstreamSilent) -> None:
         """Ask others for the rest; the silent run may still go on."""
-        now = self._tools.now()
+        now = self._deps.now()
         if self._handover is not None or not self._may_overlap:
             return
-        if self._sought_at is not None and now - self._sought_at < SEEK_S:
+        if (
+            self._handover_tried_at is not None
+            and now - self._handover_tried_at < HANDOVER_RETRY_S
+        ):
             return
-        self._sought_at = now
-        self._pin()
+        self._handover_tried_at = now
+        self._pin_version()
         assert self._run is not None
-        self._sender.note_silent(self._run.sent)
-        if not self._tools.scheduler.may_host(self._sender.pending):
+        self._sender.mark_silent(self._run.sent)
+        if not self._deps.scheduler.is_servable(self._sender.pending):
             return
-        if not self._sender.may_go_on(Lost(str(exc))):
+        if not self._sender.may_retry(OutcomeUnknown(str(exc))):
             return
-        self._note_interruption(self._run.upstream, 'silent', str(exc))
-        self._hand_over(None)
+        self._record_interruption(self._run.upstream, 'silent', str(exc))
+        self._start_handover(None)
 
-    def _seek_instead(self, exc: Broken) -> None:
+    def _replace_broken_run(self, exc: Broken) -> None:
         """Ask others for the rest of a run that has ended.
 
         Raises StreamBroken.
         """
-        sent = self._ended()
+        sent = self._detach_run()
         upstream = sent.slot.target.id
-        self._note_interruption(upstream, cause_of(exc), str(exc))
-        self._lost = self._sender.broke(sent, exc)
+        self._record_interruption(upstream, cause_of(exc), str(exc))
+        self._last_loss = self._sender.mark_broken(sent, exc)
         if self._handover is None:
-            self._seek_again(self._lost)
+            self._start_handover_or_fail(self._last_loss)
 
-    def _seek_again(self, lost: Lost) -> None:
+    def _start_handover_or_fail(self, loss: OutcomeUnknown) -> None:
         """Ask others for the rest of a lost run; raises StreamBroken."""
-        self._pin()
+        self._pin_version()
         wait_s = wait_limits.MAX_RETRY_WAIT_S
-        if not self._may_resume or not self._sender.may_go_on(lost, wait_s):
-            raise StreamBroken(lost.reason)
-        self._hand_over(None)
+        if not self._may_resume or not self._sender.may_retry(loss, wait_s):
+            raise StreamBroken(loss.reason)
+        self._start_handover(None)
 
-    def _next_elsewhere(self) -> Begun:
+    def _next_from_handover(self) -> EventBatch:
         """Wait for the rest, which no run of ours brings any more.
 
         Raises StreamBroken.
         """
         while True:
-            assert self._handover is not None and self._lost is not None
+            assert self._handover is not None and self._last_loss is not None
             handover = self._handover
-            rest = self._take_over(handover)
-            if isinstance(rest, Begun):
-                return rest
+            continuation = self._switch_over(handover)
+            if isinstance(continuation, EventBatch):
+                return continuation
             if not handover.is_move:
-                raise StreamBroken(rest.reason)
+                raise StreamBroken(continuation.reason)
             # A move has one place to try.
-            self._seek_again(self._lost)
+            self._start_handover_or_fail(self._last_loss)
 
     def _move_if_better(self) -> None:
         """Ask another engine for the rest if its own waits to load."""
         if self._run is None or self._handover is not None:
             return
-        now = self._tools.now()
+        now = self._deps.now()
         sender, target = self._sender, self._run.sent.slot.target
         closed_s = target.closed_for_s(now)
         if closed_s is None or not self._may_move or not self._may_overlap:
             return
         gap_s = sender.route.gap_s
-        rest_s = self._rest_s(now)
+        remaining_s = self._remaining_s(now)
         if sender.runs >= sender.route.max_attempts:
             return
-        if not stream_moves.should_move(closed_s, rest_s, gap_s, sender.runs):
+        if not stream_moves.should_move(
+            closed_s, remaining_s, gap_s, sender.runs
+        ):
             return
-        self._pin()
+        self._pin_version()
         sender.pending.avoided.add(target.id)
-        slot = self._tools.scheduler.reserve_slot(
-            sender.pending, stream_moves.GAP_SHARE * gap_s, rest_s
+        slot = self._deps.scheduler.reserve_slot(
+            sender.pending, stream_moves.GAP_SHARE * gap_s, remaining_s
         )
         if slot is None:
             return
         service = sender.pending.spec.service
-        if not self._tools.scheduler.retry_budgets.take(service, now):
-            self._tools.scheduler.release(sender.pending, slot)
+        if not self._deps.scheduler.retry_budgets.take(service, now):
+            self._deps.scheduler.release(sender.pending, slot)
             return
         self._may_move = False
-        self._hand_over(slot)
+        self._start_handover(slot)
 
-    def _rest_s(self, now: float) -> float:
-        made = self.count * self._tokens_per_event
+    def _remaining_s(self, now: float) -> float:
+        produced = self.event_count * self._tokens_per_event
         likely = max(1, self._sender.ctx.max_tokens)
-        return stream_moves.remainder_s(now - self.began_at, made / likely)
+        return stream_moves.remainder_s(
+            now - self.first_event_at, produced / likely
+        )
 
-    def _pin(self) -> None:
+    def _pin_version(self) -> None:
         pending = self._sender.pending
-        pending.spec = pending.spec._replace(exact=self.head.version)
+        pending.spec = pending.spec._replace(exact_version=self.head.version)
         pending.resuming = True
 
-    def _hand_over(self, slot: Slot | None) -> None:
+    def _start_handover(self, slot: Slot | None) -> None:
         self._handover = Handover(
-            self._sender, self.head, slot, self._note_interruption
+            self._sender, self.head, slot, self._record_interruption
         )
         if self._run is not None:
             self._run.sent.conn.look_each(HANDOVER_POLL_S)
 
-    def _take_over(self, handover: Handover) -> Begun | NoRest:
+    def _switch_over(self, handover: Handover) -> EventBatch | NoContinuation:
         """Change over to the run that has begun, if there is one."""
-        rest = handover.wait()
+        continuation = handover.wait()
         self._handover = None
-        if isinstance(rest, NoRest):
-            self._stay()
-            return rest
-        if self._run is not None and self._is_empty(rest.begun):
+        if isinstance(continuation, NoContinuation):
+            self._keep_current_run()
+            return continuation
+        if self._run is not None and self._is_empty(continuation.first_batch):
             # The run that goes on knows better where the stream ends.
-            self._sender.abandon(rest.run.sent)
-            self._stay()
-            return NoRest('the rest is empty')
-        self._sought_at = None
+            self._sender.abandon(continuation.run.sent)
+            self._keep_current_run()
+            return NoContinuation('the rest is empty')
+        self._handover_tried_at = None
         before = ''
         if self._run is not None:
             before = self._run.upstream
             if handover.is_move:
                 why = 'its engine is to load'
-                self._note_interruption(before, 'closing', why)
-            self._sender.abandon(self._ended())
+                self._record_interruption(before, 'closing', why)
+            self._sender.abandon(self._detach_run())
         event = 'stream_moved' if handover.is_move else 'stream_resumed'
-        self._log(event, rest.run.sent.slot, before)
-        self._run = rest.run
-        return rest.begun
+        self._log_switch(event, continuation.run.sent.slot, before)
+        self._run = continuation.run
+        return continuation.first_batch
 
-    def _is_empty(self, begun: Begun) -> bool:
-        return begun.whole and not self._new_only(begun.events)
+    def _is_empty(self, batch: EventBatch) -> bool:
+        return batch.complete and not self._unseen(batch.events)
 
-    def _is_rest_ready(self) -> bool:
+    def _is_handover_ready(self) -> bool:
         return self._handover is not None and self._handover.ready
 
-    def _note_heard(self) -> None:
+    def _on_batch_received(self) -> None:
         """Note that the run goes on; only a move is still of use."""
-        self._sought_at = None
+        self._handover_tried_at = None
         if self._handover is not None and not self._handover.is_move:
             self._cancel_handover()
 
@@ -307,9 +318,9 @@
         handover, self._handover = self._handover, None
         if handover is not None:
             handover.cancel()
-            self._stay()
+            self._keep_current_run()
 
-    def _stay(self) -> None:
+    def _keep_current_run(self) -> None:
         """Go on with the present run, if there is one."""
         if self._run is not None:
             self._sender.upstream = self._run.upstream
@@ -317,36 +328,36 @@
 
     # What is logged.
 
-    def _note_interruption(
+    def _record_interruption(
         self, upstream: str, cause: str, reason: str
     ) -> None:
         self.interruptions.append(cause)
         sender = self._sender
-        now = self._tools.now()
+        now = self._deps.now()
         service = sender.pending.spec.service
         logs.event(
             'stream_interrupted',
             logging.INFO,
-            request_id=sender.asked.id,
+            request_id=sender.inbound.id,
             upstream=upstream,
             cause=cause,
             reason=reason,
             after=sender.last_event,
             version=self.head.version,
-            quiet_ms=int((now - self._event_at) * 1000),
+            quiet_ms=int((now - self._last_event_at) * 1000),
             left_ms=int((sender.ctx.deadline - now) * 1000),
             runs=sender.runs,
             sends=sender.sends,
             retries_left=round(
-                self._tools.scheduler.retry_budgets.balance(service, now), 1
+                self._deps.scheduler.retry_budgets.balance(service, now), 1
             ),
         )
 
-    def _log(self, event: str, slot: Slot, before: str) -> None:
+    def _log_switch(self, event: str, slot: Slot, before: str) -> None:
         logs.event(
             event,
             logging.INFO,
-            request_id=self._sender.asked.id,
+            request_id=self._sender.inbound.id,
             upstream=slot.target.id,
             before=before,
             after=self._sender.last_event,
--- a/packages/burdockchute-entry/burdockchute_entry/straight/targets.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/targets.py
@@ -24,10 +24,10 @@
 
 # A request that may not be repeated goes on a connection that was used this
 # recently, or on a new one: a reset leaves its outcome unknown.
-CAREFUL_IDLE_S = 1.0
+NON_IDEMPOTENT_IDLE_S = 1.0
 
 # Free slots are shared out anew after each report, and at least this often.
-SHARE_S = 0.15
+SHARE_PERIOD_S = 0.15
 
 
 class UnstartedRequest(NamedTuple):
@@ -75,7 +75,7 @@
         """The id of the upstream."""
         return self.upstream.id
 
-    def relisted(self, upstream: Upstream) -> None:
+    def update_listing(self, upstream: Upstream) -> None:
         """Take in a newer entry of the list."""
         if upstream.versions != self.upstream.versions:
             self.versions = upstream.versions
@@ -88,17 +88,17 @@
         )
 
     def draw_share(
-        self, entries: int, most: float, chance: float, now: float
+        self, entries: int, max_slots: float, chance: float, now: float
     ) -> None:
         """Draw how many of its free slots this entry may use for SHARE_S.
 
-        `chance` is drawn from 0 to 1; all entries together may use `most`.
+        `chance` is drawn from 0 to 1; all entries may use `max_slots`.
         """
         free = self.load.slots - self.load.in_flight(now)
         self.share = engine_placement.random_share(
-            min(free, most), entries, chance
+            min(free, max_slots), entries, chance
         )
-        self.share_until = now + SHARE_S
+        self.share_until = now + SHARE_PERIOD_S
 
     def view(self, is_remote: bool, now: float) -> EngineView:
         """Give what is known of it as an engine that entries share."""
@@ -139,11 +139,11 @@
         """Give how long it takes nothing new, None if it does."""
         return None if self.closed_at is None else now - self.closed_at
 
-    def connection(self, now: float, careful: bool) -> Connection:
+    def connection(self, now: float, non_idempotent: bool) -> Connection:
         """Give a connection for one request; raises NotConnected."""
         while self._idle:
             conn, kept_at = self._idle.pop()
-            fresh = not careful or now - kept_at < CAREFUL_IDLE_S
+            fresh = not non_idempotent or now - kept_at < NON_IDEMPOTENT_IDLE_S
             if fresh and now < conn.idle_until and conn.is_quiet():
                 return conn
             conn.close()
@@ -160,7 +160,7 @@
         self._idle.append((conn, now))
 
     def remove_unstarted(
-        self, request_id: str, begun: bool, now: float
+        self, request_id: str, started: bool, now: float
     ) -> bool:
         """Note that a request of ours has begun to answer, or ended.
 
@@ -169,10 +169,10 @@
         item = self.unstarted.pop(request_id, None)
         if item is None:
             return False
-        if begun:
+        if started:
             self.last_first_event_s = now - item.sent_at
         before = self.is_behind
-        self.is_behind = health.is_behind(before, item.sent_at, begun, now)
+        self.is_behind = health.is_behind(before, item.sent_at, started, now)
         if self.is_behind != before:
             logs.event(
                 'upstream_behind' if self.is_behind else 'upstream_on_time',
--- a/packages/burdockchute-entry/tests/test_agents_task.py
+++ b/packages/burdockchute-entry/tests/test_agents_task.py
@@ -65,11 +65,11 @@
         for version, at in named:
             history = versions.add_version(history, version, at)
         histories = {'story': history} if named else {}
-        self.task._take(self.beliefs._replace(histories=histories))
+        self.task._handle(self.beliefs._replace(histories=histories))
 
     def opened(self, name):
         link = FakeLink(name)
-        self.task._take(links.Opened(link))
+        self.task._handle(links.Opened(link))
         return link
 
     def test_a_new_link_is_told_what_is_known(self):
@@ -90,31 +90,31 @@
         """A time that is changed on its way would match no probe."""
         link, other = self.opened('10.0.0.1:1'), self.opened('10.0.0.2:1')
         sent_at = round(12345.678901234, 6)
-        self.task._take(ProbeWanted('10.0.0.1:1', sent_at))
+        self.task._handle(ProbeWanted('10.0.0.1:1', sent_at))
         probe = link.sent[-1]
         self.assertNotIn(probe, other.sent)
-        self.task._take(links.Received(link, probe))
+        self.task._handle(links.Received(link, probe))
         self.assertEqual([ProbeReturned('10.0.0.1:1', sent_at)], self.heard)
 
     def test_no_probe_without_a_link(self):
         """An agent that restarts has no link for a moment."""
-        self.task._take(ProbeWanted('10.0.0.9:1', 1.0))
+        self.task._handle(ProbeWanted('10.0.0.9:1', 1.0))
         self.assertEqual([], self.heard)
 
     def test_news_of_a_slow_link_does_not_go_over_that_link(self):
         """It would stand behind what has made the link slow."""
         slow, fast = self.opened('10.0.0.1:1'), self.opened('10.0.0.2:1')
-        self.task._take(LinkTold('10.0.0.1:1', True))
+        self.task._handle(LinkTold('10.0.0.1:1', True))
         news = messages.LinkNews('10.0.0.1:1', True)
         self.assertIn(news, fast.sent)
         self.assertNotIn(news, slow.sent)
-        self.task._take(links.Received(fast, news))
+        self.task._handle(links.Received(fast, news))
         self.assertEqual([LinkTold('10.0.0.1:1', True)], self.heard)
 
     def test_a_link_that_is_gone_is_no_longer_slow(self):
         """An agent that was killed would leave its engine without work."""
         link = self.opened('10.0.0.1:1')
-        self.task._take(links.Closed(link, 'killed'))
+        self.task._handle(links.Closed(link, 'killed'))
         self.assertEqual([LinkLost('10.0.0.1:1')], self.heard)
 
     def saved(self, version, origin):
@@ -129,7 +129,7 @@
             upstreams=listed(upstream(endpoint=ADDRESS)),
             listed=True,
         )
-        self.task._take(self.beliefs)
+        self.task._handle(self.beliefs)
 
     def test_an_agent_is_told_what_it_needs_and_not_of_each_save(self):
         """Operators save routes in a storm; the origin moves once.
@@ -167,11 +167,11 @@
         """
         opened = [self.opened(f'10.0.0.{n}:1') for n in range(1, 9)]
         seen = CrashSeen('f-1', 'i-1', True, False)
-        self.task._take(seen)
+        self.task._handle(seen)
         told = [link for link in opened if len(link.sent) > 1]
         self.assertEqual(3, len(told))
         news = told[0].sent[-1]
-        self.task._take(links.Received(opened[0], news))
+        self.task._handle(links.Received(opened[0], news))
         self.assertEqual([CrashLearned(seen, 0.0)], self.learned)
 
     def test_an_entry_that_hears_nothing_says_so(self):
--- a/packages/burdockchute-entry/tests/test_survey.py
+++ b/packages/burdockchute-entry/tests/test_survey.py
@@ -19,11 +19,11 @@
 from burdockchute.model.upstreams import Endpoint
 from burdockchute.wire import messages
 from burdockchute_entry.straight.known_targets import KnownTargets
+from burdockchute_entry.straight.placement_round import PlacementRound
 from burdockchute_entry.straight.scheduler import Scheduler
 from burdockchute_entry.straight.service_queues import PendingRequest
 from burdockchute_entry.straight.service_queues import RequestSpec
 from burdockchute_entry.straight.service_queues import Slot
-from burdockchute_entry.straight.survey import Survey
 from burdockchute_entry.straight.targets import Target
 from burdockchute_testing.builders import requests
 from burdockchute_testing.builders.upstreams import upstream
@@ -88,24 +88,32 @@
         for target in full:
             target.load.reserved_for = 'somebody else'
         look = mock.Mock(side_effect=view_of)
-        survey = Survey(full, look, 0.0)
-        self.assertFalse(survey.has_room(False))
+        placement_round = PlacementRound(full, look, 0.0)
+        self.assertFalse(placement_round.has_room(False))
         look.assert_not_called()
 
     def test_what_asks_for_more_than_one_in_vain_is_passed_over(self):
-        survey = Survey(targets(), view_of, 0.0)
-        survey.found_nothing(pending(1, prompt=900), 0.2)
-        self.assertTrue(survey.is_hopeless(pending(2, prompt=1200), 0.1))
-        self.assertFalse(survey.is_hopeless(pending(3, prompt=300), 0.1))
-        self.assertFalse(survey.is_hopeless(pending(4, prompt=1200), 0.3))
-        self.assertFalse(survey.is_hopeless(pending(5), None))
+        placement_round = PlacementRound(targets(), view_of, 0.0)
+        placement_round.record_unplaceable(pending(1, prompt=900), 0.2)
+        self.assertTrue(
+            placement_round.is_unplaceable(pending(2, prompt=1200), 0.1)
+        )
+        self.assertFalse(
+            placement_round.is_unplaceable(pending(3, prompt=300), 0.1)
+        )
+        self.assertFalse(
+            placement_round.is_unplaceable(pending(4, prompt=1200), 0.3)
+        )
+        self.assertFalse(placement_round.is_unplaceable(pending(5), None))
 
     def test_one_that_avoids_targets_says_nothing_of_others(self):
-        survey = Survey(targets(), view_of, 0.0)
+        placement_round = PlacementRound(targets(), view_of, 0.0)
         choosy = pending(1)
         choosy.avoided.add('i-1')
-        survey.found_nothing(choosy, 0.2)
-        self.assertFalse(survey.is_hopeless(pending(2, prompt=1200), 0.1))
+        placement_round.record_unplaceable(choosy, 0.2)
+        self.assertFalse(
+            placement_round.is_unplaceable(pending(2, prompt=1200), 0.1)
+        )
 
 
 class PlacerTest(unittest.TestCase):
@@ -125,9 +133,11 @@
             for number in range(8)
         ]
         gevent.sleep(0)
-        survey = KnownTargets.survey
-        with mock.patch.object(KnownTargets, 'survey', autospec=True) as look:
-            look.side_effect = survey
+        start_round = KnownTargets.start_round
+        with mock.patch.object(
+            KnownTargets, 'start_round', autospec=True
+        ) as look:
+            look.side_effect = start_round
             for target in scheduler.targets():
                 target.load.reserved_for = ''
                 address = str(target.upstream.endpoint)
