--- a/packages/burdockchute-agent/burdockchute_agent/cache_changes.py
+++ b/packages/burdockchute-agent/burdockchute_agent/cache_changes.py
@@ -1,8 +1,9 @@
-"""What has changed in the upstream's prefix cache since entries were told.
+"""Changes of the upstream's prefix cache since the last report to entries.
 
-Every report goes out on every link, so it has room for the news only, and
+Every report goes out on every link, so it carries only what has changed, and
 not each second. What doesn't fit is dropped, oldest first: an entry that
-misses a prefix sends a request where it is not warm, once.
+hasn't received a prefix sends one request to an instance whose cache doesn't
+hold it.
 """
 
 from __future__ import annotations
@@ -12,14 +13,14 @@
 
 PREFIX_HEX = 16
 
-# With 134 agents to an entry, 8 prefixes of 20 bytes each 2 s are 11 KB a
-# second at the worst, half of what a node may spend on control.
+# With 134 agents per entry, 8 prefixes of 20 bytes every 2 s are at most
+# 11 KB a second, half of what a node may spend on control traffic.
 MAX_REPORTED_PREFIXES = 8
 REPORT_INTERVAL_S = 2.0
 
 
 class CacheChanges(NamedTuple):
-    """Prefix digests, shortened; those stored last come first."""
+    """Truncated prefix digests, the latest ones first."""
 
     stored: list[str]
     evicted: list[str]
@@ -29,7 +30,7 @@
 
 
 class PendingCacheChanges:
-    """News not yet told; times are monotonic seconds."""
+    """Changes that are not yet reported; times are monotonic seconds."""
 
     def __init__(self) -> None:
         self._stored: dict[str, None] = {}
@@ -37,20 +38,20 @@
         self._reported_at = float('-inf')
 
     def stored(self, prefix: str) -> None:
-        """Note that the cache holds a prefix."""
+        """Record that the cache now holds a prefix."""
         _move(prefix, self._evicted, self._stored)
 
     def evicted(self, prefix: str) -> None:
-        """Note that the cache no longer holds a prefix."""
+        """Record that the cache no longer holds a prefix."""
         _move(prefix, self._stored, self._evicted)
 
     def clear(self) -> None:
-        """Forget all, when the upstream has gone."""
+        """Drop all changes, when the upstream is away."""
         self._stored.clear()
         self._evicted.clear()
 
     def take(self, now: float) -> CacheChanges:
-        """Give the news if it is time to tell, and forget them."""
+        """Return and clear the changes, none before the next report is due."""
         if now < self._reported_at + REPORT_INTERVAL_S:
             return NO_CACHE_CHANGES
         self._reported_at = now
--- a/packages/burdockchute-agent/tests/test_cache_news.py
+++ b/packages/burdockchute-agent/tests/test_cache_news.py
@@ -1,4 +1,4 @@
-"""News of the upstream's prefix cache."""
+"""Reports of changes in the upstream's prefix cache."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class CacheNewsTest(unittest.TestCase):
-    def test_news_are_told_once_and_newest_first(self):
+    def test_changes_are_reported_once_and_newest_first(self):
         changes = PendingCacheChanges()
         changes.stored('a')
         changes.stored('b')
@@ -18,23 +18,23 @@
         self.assertEqual(CacheChanges(['b', 'a'], ['c']), changes.take(0.0))
         self.assertEqual(CacheChanges([], []), changes.take(100.0))
 
-    def test_last_word_on_a_prefix_counts(self):
+    def test_last_change_of_a_prefix_counts(self):
         changes = PendingCacheChanges()
         changes.stored('a')
         changes.evicted('a')
         self.assertEqual(CacheChanges([], ['a']), changes.take(0.0))
 
     def test_burst_of_prefixes_is_bounded(self):
-        # Hundreds of long prompts at once would fill each report with
-        # kilobytes, on every link.
+        # Hundreds of long prompts at once would add kilobytes to each report
+        # on every link.
         changes = PendingCacheChanges()
         for number in range(100):
             changes.stored(f'{number:016d}')
-        told = changes.take(0.0).stored
-        self.assertEqual(f'{99:016d}', told[0])
-        self.assertEqual(cache_changes.MAX_REPORTED_PREFIXES, len(told))
+        reported = changes.take(0.0).stored
+        self.assertEqual(f'{99:016d}', reported[0])
+        self.assertEqual(cache_changes.MAX_REPORTED_PREFIXES, len(reported))
 
-    def test_news_wait_for_their_time(self):
+    def test_changes_wait_for_the_next_report(self):
         changes = PendingCacheChanges()
         changes.take(0.0)
         changes.stored('a')
