--- a/packages/burdockchute-agent/burdockchute_agent/announcements.py
+++ b/packages/burdockchute-agent/burdockchute_agent/announcements.py
@@ -1,4 +1,4 @@
-"""Telling peers what this instance holds."""
+"""Announces to peers what this instance holds of each copy."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from burdockchute.nodes.peers import PeerLink
 from burdockchute.wire import messages
 
-# News of chunks is gathered for so long, to send one message for many.
+# Changes are collected for this time, so that one message covers many chunks.
 BATCH_S = 0.02
 
 
 class Announcements:
-    """Digests whose state has changed since peers were last told."""
+    """Digests whose state has changed since the last announcement."""
 
     def __init__(self, now: float) -> None:
         self._sent_at = now
@@ -22,21 +22,24 @@
         self._phase_of: dict[str, tuple[bool, bool]] = {}
 
     def chunk_added(self, digest: str) -> None:
-        """Note that a chunk has come; peers with a whole copy don't care."""
+        """Mark a digest that has a new chunk.
+
+        It isn't announced to peers with a complete copy, which need none.
+        """
         self._new_chunks.add(digest)
 
     def set_phase(self, digest: str, loading: bool, is_open: bool) -> None:
-        """Note whether the engine loads or serves a digest."""
+        """Set whether the engine loads and whether it serves a digest."""
         if self._phase_of.get(digest) != (loading, is_open):
             self._phase_of[digest] = (loading, is_open)
             self._new_phases.add(digest)
 
     def phase_of(self, digest: str) -> tuple[bool, bool]:
-        """Give whether the engine loads and whether it serves a digest."""
+        """Return whether the engine loads and whether it serves a digest."""
         return self._phase_of.get(digest, (False, False))
 
     def forget(self, digest: str) -> None:
-        """Drop all about weights that are given up."""
+        """Drop everything about a digest that is no longer wanted."""
         self._new_chunks.discard(digest)
         self._new_phases.discard(digest)
         self._phase_of.pop(digest, None)
@@ -47,7 +50,11 @@
         have: Callable[[str], messages.Have],
         now: float,
     ) -> float | None:
-        """Send what is due; gives when to come back, None for no news."""
+        """Send what is due.
+
+        Return the seconds until the next call is useful, None if nothing is
+        left to announce.
+        """
         changed = self._new_chunks | self._new_phases
         if not changed:
             return None
