--- a/packages/burdockchute-agent/burdockchute_agent/chunk_requests.py
+++ b/packages/burdockchute-agent/burdockchute_agent/chunk_requests.py
@@ -1,4 +1,4 @@
-"""Which chunks were asked of which peers, and when."""
+"""Requests for chunks that peers have not answered yet."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class SentRequest(NamedTuple):
-    """One request that is on its way."""
+    """A request without an answer; `sent_at` is in monotonic seconds."""
 
     peer: str
     sent_at: float
 
 
 class PeerCopy:
-    """What is known of one peer's copy of some weights.
+    """The state of one peer's copy of a digest.
 
     `held` is a bitmap of chunks, `load` the length of the peer's upload
     queue, `pending_requests` the number of our requests that it has not
@@ -33,7 +33,7 @@
 
 
 class PendingChunkRequests:
-    """Requests on their way, by chunk; a chunk may be asked for twice."""
+    """Pending requests by chunk; a chunk may be requested of two peers."""
 
     def __init__(self) -> None:
         self._by_chunk: dict[int, list[SentRequest]] = {}
@@ -48,15 +48,15 @@
         return iter(self._by_chunk)
 
     def for_chunk(self, chunk: int) -> list[SentRequest]:
-        """Give the requests for a chunk."""
+        """Return the requests for a chunk."""
         return list(self._by_chunk.get(chunk, ()))
 
     def add(self, chunk: int, peer: str, now: float) -> None:
-        """Note a request."""
+        """Add a request sent at `now`."""
         self._by_chunk.setdefault(chunk, []).append(SentRequest(peer, now))
 
     def remove(self, chunk: int, peer: str) -> SentRequest | None:
-        """Forget a request and give it, None if there was none."""
+        """Remove and return a request, None if there was none."""
         requests = self._by_chunk.get(chunk, [])
         for request in requests:
             if request.peer == peer:
@@ -67,11 +67,11 @@
         return None
 
     def remove_chunk(self, chunk: int) -> None:
-        """Forget all requests for a chunk."""
+        """Remove all requests for a chunk."""
         self._by_chunk.pop(chunk, None)
 
     def sent_before(self, at: float) -> list[tuple[int, str]]:
-        """Give chunk and peer of the requests made before a time."""
+        """Return chunk and peer of each request sent before `at`."""
         return [
             (chunk, request.peer)
             for chunk, requests in self._by_chunk.items()
--- a/packages/burdockchute-agent/burdockchute_agent/upload_queue.py
+++ b/packages/burdockchute-agent/burdockchute_agent/upload_queue.py
@@ -1,12 +1,12 @@
-"""Chunks that peers have asked for, and the order in which they go out."""
+"""The queue of chunks to send, served round robin over the peers."""
 
 from __future__ import annotations
 
 from collections import deque
 from typing import NamedTuple
 
-# So many chunks may wait for the uplink. A longer queue would outlast the
-# deadline of those who asked, and be sent in vain.
+# In a longer queue, chunks would wait beyond the deadline of the peers that
+# requested them, and would be sent for nothing.
 MAX_QUEUED_CHUNKS = 8
 
 
@@ -19,7 +19,7 @@
 
 
 class UploadQueue:
-    """A bounded queue that serves its peers in turn."""
+    """A bounded queue that takes one chunk of each peer in turn."""
 
     def __init__(self) -> None:
         self._by_peer: dict[str, deque[Upload]] = {}
@@ -29,7 +29,7 @@
         return sum(len(waiting) for waiting in self._by_peer.values())
 
     def add(self, upload: Upload) -> bool:
-        """Queue an upload; False if the queue is full."""
+        """Queue an upload unless it is queued already; False if full."""
         if len(self) >= MAX_QUEUED_CHUNKS:
             return False
         if upload.peer not in self._by_peer:
@@ -41,7 +41,7 @@
         return True
 
     def next(self) -> Upload | None:
-        """Take the next one, None if there is none."""
+        """Remove and return the next upload, None if there is none."""
         while self._rotation:
             peer = self._rotation.popleft()
             waiting = self._by_peer[peer]
@@ -53,12 +53,12 @@
         return None
 
     def remove_peer(self, peer: str) -> None:
-        """Drop what a peer that is gone has asked for."""
+        """Drop the uploads to a disconnected peer."""
         if peer in self._by_peer:
             self._by_peer[peer].clear()
 
     def remove_digest(self, digest: str) -> list[Upload]:
-        """Drop and give all uploads of weights that are given up."""
+        """Drop and return all uploads of a digest."""
         dropped: list[Upload] = []
         for peer, waiting in self._by_peer.items():
             dropped.extend(
