--- a/packages/burdockchute-agent/burdockchute_agent/region_imports.py
+++ b/packages/burdockchute-agent/burdockchute_agent/region_imports.py
@@ -1,4 +1,9 @@
-"""Which chunks this agent brings over from another region."""
+"""Decides which chunks this agent fetches from another region.
+
+The agents of a region divide the chunks of a copy among them, so that each
+chunk crosses the narrow links between regions once. Another agent takes over
+a chunk that its first importer doesn't fetch in time.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +15,7 @@
 
 
 class RegionImports:
-    """The shares of the agents of one region in the chunks of one copy."""
+    """The division of one copy's chunks among the agents of a region."""
 
     def __init__(self) -> None:
         self._readers: ReaderGroup | None = None
@@ -18,19 +23,22 @@
         self._available_since: dict[int, float] = {}
 
     def set_importers(self, own: str, names: Iterable[str]) -> None:
-        """Take who is in the own region."""
+        """Set the names of the agents in this agent's region."""
         readers = ReaderGroup(own, tuple(names), 0)
         if readers != self._readers:
             self._readers = readers
             self._ranks.clear()
 
     def note_remote_chunks(self, chunks: int, now: float) -> None:
-        """Note chunks that are held in another region."""
+        """Record when chunks are first held in another region."""
         for chunk in set_bits(chunks):
             self._available_since.setdefault(chunk, now)
 
     def importable(self, wanted: int, now: float) -> int:
-        """Give those of the wanted chunks that may come from elsewhere."""
+        """Return the wanted chunks that may be fetched from another region.
+
+        Without importers these are all of them.
+        """
         if self._readers is None:
             return wanted
         found = 0
@@ -43,7 +51,7 @@
         return found
 
     def own_share(self, wanted: int, now: float) -> int:
-        """Give the wanted chunks that this agent is the first to bring."""
+        """Return the wanted chunks of which this agent is first importer."""
         if self._readers is None:
             return 0
         return sum(
