--- a/packages/burdockchute-agent/burdockchute_agent/policy.py
+++ b/packages/burdockchute-agent/burdockchute_agent/policy.py
@@ -1,6 +1,6 @@
-"""How copies spread: with whom, from whom, and who reads the origin.
+"""The policy by which copies of weights are distributed among agents.
 
-The agent uses DEFAULT. Benches compare it with others, which live there.
+The agent uses DEFAULT_POLICY. The benchmarks define others to compare it with.
 """
 
 from __future__ import annotations
@@ -18,10 +18,11 @@
 
 
 class Policy(NamedTuple):
-    """The three choices that make up a spread.
+    """The three functions that decide how a copy is distributed.
 
-    `neighbours` gives whom to dial for a row, `readers` the order of origin
-    reads for a digest, `choose` the next chunk and peer.
+    `neighbours` returns the peers to dial for a row, `readers` the order of
+    origin reads for a digest, `choose` the next chunk and the peer to request
+    it from.
     """
 
     neighbours: Callable[[str, Member, Sequence[Member]], tuple[str, ...]]
--- a/packages/burdockchute-agent/burdockchute_agent/weights_metrics.py
+++ b/packages/burdockchute-agent/burdockchute_agent/weights_metrics.py
@@ -1,4 +1,4 @@
-"""What is measured about copies, through OpenTelemetry."""
+"""OpenTelemetry metrics of copies of weights."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class WeightsMetrics:
-    """Counters of one agent; made after `metrics.set_up`."""
+    """Counters of one agent; create them after `metrics.set_up`."""
 
     def __init__(self) -> None:
         meter = metrics.meter()
@@ -26,13 +26,16 @@
         )
 
     def received(self, source: str, size: int) -> None:
-        """Count a chunk; `source` is origin, zone, region or elsewhere."""
+        """Count a received chunk of `size` bytes.
+
+        `source` is origin, zone, region or elsewhere.
+        """
         self._received.add(size, {'source': source})
 
     def sent(self, size: int) -> None:
-        """Count a chunk that was sent."""
+        """Count a sent chunk of `size` bytes."""
         self._sent.add(size)
 
     def failed(self, cause: str) -> None:
-        """Count a failure, by the name of its log event."""
+        """Count a failure under the name of its log event."""
         self._failed.add(1, {'cause': cause})
