--- a/packages/burdockchute-agent/burdockchute_agent/origin_reads.py
+++ b/packages/burdockchute-agent/burdockchute_agent/origin_reads.py
@@ -1,13 +1,13 @@
 """Reads from the weight store, each in a greenlet of its own.
 
-A read can be stopped at any time, so that a copy that is given up stops
-using the store's link at once.
-
-An origin takes only so many connections, often fewer than there are agents,
-and resets each further one. Were connections kept for the next version, the
-agents whose turn comes later would be turned away by those that are done, and
-nobody would get their chunks. So a connection is kept from one read to the
-next, and closed when none follows.
+A read can be stopped at any time, so that a copy that is dropped stops using
+the store's link at once.
+
+An origin accepts a limited number of connections, often fewer than there are
+agents, and resets each further one. If connections were kept open for the
+next version, agents that have finished would block those that read later, and
+the chunks that these are to read would reach no agent. So a connection is
+reused for a read that follows at once, and closed if none does.
 """
 
 from __future__ import annotations
@@ -28,20 +28,20 @@
 
 MAX_IDLE_CLIENTS = 4
 
-# Reads in a row follow each other within a pass of the copies, some 50 ms.
+# A next read starts within one tick of the copy manager, some 50 ms.
 IDLE_CLIENT_S = 0.25
 
 
 class OriginClient(Protocol):
-    """Connections to one origin, for one task at a time."""
+    """Connections to one origin, used by one greenlet at a time."""
 
     bytes_read: int
 
     def manifest(self, digest: str) -> Result:
-        """Read a manifest; what it gives belongs to the digest."""
+        """Read a manifest; a returned one matches the digest."""
 
     def chunk(self, manifest: Manifest, index: int) -> Result:
-        """Read one chunk, not yet checked."""
+        """Read one chunk without verifying it."""
 
     def close(self) -> None:
         """Close all connections."""
@@ -53,7 +53,10 @@
 
 
 class OriginReads:
-    """All reads now in progress; what they bring goes to `report`."""
+    """All reads in progress; their results go to `report`.
+
+    `last_used` is when a read last ended, in monotonic seconds.
+    """
 
     def __init__(
         self,
@@ -68,18 +71,18 @@
         self._running: dict[_Read, gevent.Greenlet] = {}
 
     def read_manifest(self, digest: str) -> None:
-        """Start to read a manifest unless that is already going on."""
+        """Start to read a manifest unless that is in progress."""
         self._start(
             _Read(digest, MANIFEST_INDEX), self._run_manifest_read, digest
         )
 
     def read_chunk(self, manifest: Manifest, index: int) -> None:
-        """Start to read a chunk unless that is already going on."""
+        """Start to read a chunk unless that is in progress."""
         read = _Read(manifest.digest, index)
         self._start(read, self._run_chunk_read, manifest, index)
 
     def stop(self, digest: str) -> None:
-        """Stop every read for a digest; nothing more is reported of it."""
+        """Stop every read for a digest; none of them reports a result."""
         for read in [read for read in self._running if read.digest == digest]:
             self._running.pop(read).kill(block=False)
 
@@ -90,7 +93,7 @@
         self._close_idle()
 
     def close_idle(self, now: float) -> None:
-        """Close the connections if no read has used one for a while."""
+        """Close idle connections that no read has used for IDLE_CLIENT_S."""
         if self._idle and now - self.last_used > IDLE_CLIENT_S:
             self._close_idle()
 
@@ -128,7 +131,7 @@
             result = call(client)
             finished = True
         finally:
-            # A client stopped in the middle of a reply can't be used again.
+            # A client that was stopped during a reply can't be reused.
             self.bytes_read += client.bytes_read - before
             self.last_used = time.monotonic()
             if finished and len(self._idle) < MAX_IDLE_CLIENTS:
--- a/packages/burdockchute-agent/tests/test_origin_reads.py
+++ b/packages/burdockchute-agent/tests/test_origin_reads.py
@@ -1,4 +1,4 @@
-"""Connections to the origin of weights."""
+"""The reuse and closing of connections to the origin of weights."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class CappedOrigin:
-    """Takes two connections at once and resets each further one."""
+    """Accepts two connections at once and resets each further one."""
 
     CAP = 2
 
@@ -29,7 +29,7 @@
 
 
 class FakeClient:
-    """Connects with its first read, and keeps that connection."""
+    """Connects with its first read and keeps that connection."""
 
     def __init__(self, origin) -> None:
         self.bytes_read = 0
@@ -51,37 +51,37 @@
         self.origin = CappedOrigin()
 
     def reads(self):
-        brought = []
-        return OriginReads(self.origin.connect, brought.append), brought
+        results = []
+        return OriginReads(self.origin.connect, results.append), results
 
     def read(self, reads, index=0):
         reads.read_chunk(MANIFEST, index)
         gevent.sleep(0)
 
-    def test_agents_that_have_read_make_way_for_others(self):
-        """An origin takes fewer connections than there are agents.
+    def test_agents_that_have_read_close_their_connections(self):
+        """Idle connections must not block agents that read later.
 
-        Each agent reads a chunk or two and keeps its connections. The agents
-        whose turn comes later are turned away for as long, and the chunks
-        that are theirs to bring reach nobody.
+        An origin accepts fewer connections than there are agents. If each
+        agent kept its connections after a chunk or two, later readers would
+        be refused, and the chunks that only they read would reach no agent.
         """
         early = [self.reads()[0] for _agent in range(2)]
         for reads in early:
             self.read(reads)
-        late, brought = self.reads()
+        late, results = self.reads()
         self.read(late)
-        self.assertIsInstance(brought[0].outcome, OriginError)
+        self.assertIsInstance(results[0].outcome, OriginError)
         for reads in early:
             reads.close_idle(reads.last_used + IDLE_CLIENT_S + 0.01)
         self.read(late, 1)
-        self.assertEqual(b'ab', brought[1].outcome)
+        self.assertEqual(b'ab', results[1].outcome)
 
-    def test_reads_in_a_row_share_a_connection(self):
-        reads, brought = self.reads()
+    def test_consecutive_reads_share_a_connection(self):
+        reads, results = self.reads()
         for index in range(4):
             self.read(reads, index)
             reads.close_idle(reads.last_used + IDLE_CLIENT_S - 0.01)
-        self.assertEqual([b'ab'] * 4, [read.outcome for read in brought])
+        self.assertEqual([b'ab'] * 4, [read.outcome for read in results])
         self.assertEqual(1, len(self.origin.open))
 
 
