--- a/packages/burdockchute-agent/burdockchute_agent/chunk_sender.py
+++ b/packages/burdockchute-agent/burdockchute_agent/chunk_sender.py
@@ -1,4 +1,4 @@
-"""Sending chunks to the peers that ask for them."""
+"""Sends chunks to the peers that request them."""
 
 from __future__ import annotations
 
@@ -15,17 +15,19 @@
 from burdockchute_agent.upload_queue import UploadQueue
 from burdockchute_agent.weights_metrics import WeightsMetrics
 
-# A peer that reads slower than it asks has this much waiting in its link.
+# Requests are refused above this limit, which a peer reaches if it reads more
+# slowly than it requests.
 MAX_PEER_QUEUE_BYTES = 4 * 1024 * 1024
 RETRY_MS = 1000
 
-# On paced links this much may wait to be written, over all peers: the next
-# chunk then follows without a gap, and no chunk waits long behind others.
+# Bytes that may wait to be written on paced links, over all peers: enough for
+# the next chunk to follow without a gap, and so little that no chunk waits
+# long behind others.
 MAX_PACED_QUEUE_BYTES = 64 * 1024
 
 
 class ChunkSender:
-    """The uploads of all copies, within what the uplink allows."""
+    """Sends the chunks of all copies within the uplink's budget."""
 
     def __init__(
         self,
@@ -48,7 +50,11 @@
     def handle_request(
         self, peer: PeerLink, request: messages.ChunkRequest
     ) -> None:
-        """Queue a chunk for a peer, or say why not."""
+        """Queue a chunk for a peer, or refuse it with a reason.
+
+        The manifest is sent at once. The reason is `unknown` for a chunk
+        that isn't held and `busy` for a full queue.
+        """
         digest, index = request.digest, request.index
         copy = self._copy_of(digest)
         if copy is None or (index != MANIFEST_INDEX and not copy.holds(index)):
@@ -62,14 +68,19 @@
             peer.send(_refusal(digest, index, 'busy', int(wait_s * 1000)))
 
     def send_due(self, now: float) -> float | None:
-        """Send what the uplink allows; gives when to come back, if at all."""
+        """Send what the uplink allows.
+
+        Return the seconds until more may be sent, None if there is no time
+        to wait for.
+        """
         while self._has_room(now):
             upload = self._uploads.next()
             if upload is None:
                 return None
             self._send(upload)
-        # What waits for a paced link goes on with the next look: the uplink
-        # may have room all the while, where a peer takes nothing.
+        # On paced links the next tick sends what is queued. No wait follows
+        # from the uplink's budget, which may have room all the time while a
+        # peer reads nothing.
         if self._paced or not len(self._uploads):
             return None
         return self._bandwidth.send_wait_s()
@@ -77,7 +88,7 @@
     def _has_room(self, now: float) -> bool:
         if not self._paced:
             return self._bandwidth.can_send
-        # What waits for peers behind slow links holds up no others.
+        # Data queued for peers behind slow links must not block the others.
         queued = sum(
             peer.link.queued_bytes
             for peer in self._links.values()
@@ -86,11 +97,11 @@
         return queued < MAX_PACED_QUEUE_BYTES
 
     def remove_peer(self, name: str) -> None:
-        """Drop what a peer that is gone has asked for."""
+        """Drop the uploads to a disconnected peer."""
         self._uploads.remove_peer(name)
 
     def remove_digest(self, digest: str) -> None:
-        """Drop and refuse all uploads of weights that are given up."""
+        """Drop and refuse all uploads of a digest that is no longer held."""
         for upload in self._uploads.remove_digest(digest):
             peer = self._links.get(upload.peer)
             if peer is not None:
--- a/packages/burdockchute-agent/tests/test_serving.py
+++ b/packages/burdockchute-agent/tests/test_serving.py
@@ -1,4 +1,4 @@
-"""Sending chunks over links that are paced."""
+"""Sending chunks over paced links."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
         for index in range(CHUNKS):
             copy.add(index, bytes(CHUNK_BYTES))
         self.peers = {name: FakePeer(name) for name in ('a', 'b', 'c')}
-        self.serving = ChunkSender(
+        self.sender = ChunkSender(
             self.peers,
             lambda digest: copy,
             Bandwidth(1e6, 1e6, 0.0),
@@ -57,24 +57,24 @@
     def ask(self, name, *indexes):
         for index in indexes:
             request = messages.ChunkRequest('d', index)
-            self.serving.handle_request(self.peers[name], request)
+            self.sender.handle_request(self.peers[name], request)
 
-    def test_a_peer_that_takes_nothing_does_not_keep_the_agent_busy(self):
-        """The uplink has room and the queues do not; a look at once is vain.
+    def test_a_peer_that_reads_nothing_does_not_keep_the_agent_busy(self):
+        """No immediate retry while the uplink has room but the queues don't.
 
-        An agent that looked again at once used a whole core.
+        An agent that retried at once used a whole core.
         """
         self.ask('a', 0, 1, 2)
-        self.assertIsNone(self.serving.send_due(1.0))
+        self.assertIsNone(self.sender.send_due(1.0))
         self.assertLess(len(self.peers['a'].sent), 3)
-        self.assertIsNone(self.serving.send_due(1.1))
+        self.assertIsNone(self.sender.send_due(1.1))
 
-    def test_peers_behind_slow_links_hold_up_no_others(self):
+    def test_peers_behind_slow_links_do_not_block_others(self):
         for name in ('a', 'b'):
             self.peers[name].link.queued_bytes = MAX_PACED_QUEUE_BYTES
             self.peers[name].link.slow = True
         self.ask('c', 0)
-        self.serving.send_due(1.0)
+        self.sender.send_due(1.0)
         self.assertEqual([0], [chunk.index for chunk in self.peers['c'].sent])
 
 
