--- a/packages/burdockchute-agent/burdockchute_agent/chunk_receiver.py
+++ b/packages/burdockchute-agent/burdockchute_agent/chunk_receiver.py
@@ -1,4 +1,7 @@
-"""What arrives of copies: from peers, and from the origin."""
+"""Passes messages and origin reads about copies to their copiers.
+
+Peers that send corrupt chunks are counted, and banned after too many.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +28,7 @@
 
 
 class ChunkReceiver:
-    """Checks what arrives and hands it to the copiers of its digest."""
+    """Verifies received data and passes it to the copier of its digest."""
 
     def __init__(
         self,
@@ -47,13 +50,13 @@
         self._corruption = CorruptChunkCounts()
 
     def is_banned(self, peer: PeerLink) -> bool:
-        """Tell whether a peer has sent too much that was corrupt."""
+        """Whether a peer has sent too many corrupt chunks to be used."""
         return self._corruption.is_banned(peer)
 
     def handle_message(
         self, peer: PeerLink, message: object, now: float
     ) -> None:
-        """Take a message of a peer about copies."""
+        """Handle a peer's message about copies."""
         match message:
             case messages.Have():
                 self._have_came(peer, message, now)
@@ -110,7 +113,7 @@
             self._store_manifest(copier, manifest, now)
 
     def manifest_read(self, digest: str, outcome: object, now: float) -> None:
-        """Take what a read of a manifest from the origin has given."""
+        """Handle the result of reading a manifest from the origin."""
         copier = self._copiers.get(digest)
         if copier is None:
             return
@@ -126,18 +129,18 @@
     ) -> None:
         copier.manifest_received(manifest, now)
         self._announcements.chunk_added(copier.digest)
-        # What peers hold could not be read without the number of chunks.
+        # Without the number of chunks, peers' bitmaps couldn't be decoded.
         self.apply_stored_haves(copier, now)
 
     def apply_stored_haves(self, copier: Copier, now: float) -> None:
-        """Hand a copier what peers have said of its digest before."""
+        """Pass a copier what peers have announced of its digest so far."""
         for peer in self._links.values():
             have = peer.haves.get(copier.digest)
             if have is not None and not self._corruption.is_banned(peer):
                 copier.have_received(peer.name, peer.distance, have, now)
 
     def origin_chunk_read(self, read: OriginRead, now: float) -> None:
-        """Take what a read of a chunk from the origin has given."""
+        """Handle the result of reading a chunk from the origin."""
         copier = self._copiers.get(read.digest)
         if copier is None:
             return
@@ -173,14 +176,14 @@
             count=count,
         )
         if self._corruption.is_banned(peer):
-            # A peer that corrupts what it sends would be asked again and
-            # again, as it says that it holds all; the copy would crawl.
+            # A peer that corrupts what it sends may claim to hold every
+            # chunk. It would be asked again and again, and slow the copy.
             warn('peer_banned', peer=peer.name)
             for copier in self._copiers.values():
                 copier.peer_disconnected(peer.name)
 
     def log_if_complete(self, copier: Copier) -> None:
-        """Write a line if a copy has become whole."""
+        """Log `copy_whole` if a copy is complete."""
         if copier.complete:
             event(
                 'copy_whole',
