--- a/packages/burdockchute-agent/burdockchute_agent/copier.py
+++ b/packages/burdockchute-agent/burdockchute_agent/copier.py
@@ -1,7 +1,7 @@
-"""One copy in the making: what is held, asked for and from whom.
+"""The state of one copy: chunks held, requested and read, and its peers.
 
-It has no socket and reads no clock: it is told what arrives, and `plan_reads`
-and `plan_requests` give the requests to make now.
+It has no sockets and reads no clock. The caller reports what arrives;
+`plan_reads` and `plan_requests` return the reads and requests to start now.
 """
 
 from __future__ import annotations
@@ -26,19 +26,20 @@
 from burdockchute_agent.origin_schedule import OriginSchedule
 from burdockchute_agent.region_imports import RegionImports
 
-# Names of the distances of peers, nearest first.
+# Names of the distances of peers, nearest first, as in the label `source` of
+# the metrics.
 SOURCE_NAMES = ('zone', 'region', 'elsewhere')
 
-# Two requests keep a peer's uplink busy while the next one travels; more
-# would only wait there, while another peer could have sent them.
+# Two requests keep a peer's uplink busy while the next one is on its way.
+# More would only wait there, while another peer could send the chunks.
 MAX_REQUESTS_PER_PEER = 2
 MAX_REQUESTS = 16
 MAX_READS = 2
 
-# On paced links, what was asked for of several peers may arrive at once and
-# stand in the queue before this instance's link, and with it the requests
-# for its upstream. So much of it keeps the link busy and delays a request by
-# no more than some tenths of a second.
+# On paced links, chunks requested from several peers may arrive at once and
+# fill the queue before this instance's link, where requests for its upstream
+# wait too. These limits keep the link busy and delay a request by no more
+# than some tenths of a second.
 PACED_MAX_REQUESTS = 4
 PACED_MAX_READS = 1
 MAX_REQUESTS_DURING_READS = 1
@@ -61,7 +62,7 @@
 
 
 class ReceivedBytes(NamedTuple):
-    """Bytes of chunks by where they came from; `twice` came in vain."""
+    """Bytes of chunks by source; `twice` counts chunks already held."""
 
     origin: int = 0
     zone: int = 0
@@ -71,10 +72,11 @@
 
 
 class CopyStatus(NamedTuple):
-    """How a copy stands, in chunks.
+    """The progress of a copy, in chunks.
 
-    `near` are those that peers of the own region hold, `known` those that any
-    peer holds; `asked` and `reading` are under way.
+    `held` are verified. `near` are held by peers in this agent's region,
+    `known` are held here or by any peer. `asked` are requested from peers,
+    `reading` are being read from the origin.
     """
 
     held: int
@@ -85,7 +87,7 @@
 
 
 class Copier:
-    """The copy of one digest and the state of its getting."""
+    """The copy of one digest, its peers, requests and reads."""
 
     def __init__(
         self,
@@ -105,25 +107,26 @@
         self.imports = RegionImports()
         self.max_requests = MAX_REQUESTS
         self.max_reads = MAX_READS
-        # Whether the fleet reads few chunks of the origin at a time.
+        # Whether the fleet reads the origin in the order of chunks, a few at
+        # a time.
         self.reads_in_order = False
         self._choose = choose
         self._rng = rng
         self._all_chunks = 0
         self._missing = 0
-        self._seen = 0
+        self._seen_chunks = 0
         self._holder_counts: list[int] = []
         self._requests = PendingChunkRequests()
         self._reads: dict[int, float] = {}
-        self._read_s = 0.0
-        # When each chunk could first be read, where they are read in order.
+        self._mean_read_s = 0.0
+        # When each chunk first became readable, if they are read in order.
         self._readable_since: dict[int, float] = {}
         self._latency_s = 0.0
 
     # What arrives.
 
     def manifest_received(self, manifest: Manifest, now: float) -> None:
-        """Take a manifest that was checked against the digest."""
+        """Take a manifest that has been verified against the digest."""
         self._reads.pop(MANIFEST_INDEX, None)
         self._requests.remove_chunk(MANIFEST_INDEX)
         if self.copy is not None:
@@ -137,7 +140,7 @@
     def have_received(
         self, name: str, distance: int, have: messages.Have, now: float
     ) -> None:
-        """Take a peer's news of its copy."""
+        """Update a peer's state from its Have message."""
         peer = self.peers.setdefault(name, PeerCopy(distance))
         peer.distance = distance
         peer.has_manifest = bool(have.bitmap)
@@ -150,13 +153,13 @@
         peer.held = held
         if distance == OTHER_REGION:
             self.imports.note_remote_chunks(held & self._missing, now)
-        new = held & ~self._seen
-        if new:
-            self._seen |= new
-            self.schedule.chunks_found(new.bit_count(), now)
+        new_chunks = held & ~self._seen_chunks
+        if new_chunks:
+            self._seen_chunks |= new_chunks
+            self.schedule.chunks_found(new_chunks.bit_count(), now)
 
     def peer_disconnected(self, name: str) -> None:
-        """Forget a peer whose link has closed, and what it was asked."""
+        """Remove a peer whose link has closed, and the requests to it."""
         peer = self.peers.pop(name, None)
         if peer is None:
             return
@@ -192,7 +195,7 @@
     def request_refused(
         self, name: str, chunk: int, retry_after_s: float, now: float
     ) -> None:
-        """Note that a peer will not send a chunk now."""
+        """Remove a refused request and avoid the peer for a time."""
         self._remove_request(chunk, name)
         peer = self.peers.get(name)
         if peer is not None:
@@ -203,7 +206,9 @@
     ) -> bool:
         """Take a chunk from the origin; False if it is corrupt."""
         started = self._reads.pop(chunk, now)
-        self._read_s = sources.moving_average(self._read_s, now - started)
+        self._mean_read_s = sources.moving_average(
+            self._mean_read_s, now - started
+        )
         if self.copy is None or self.copy.holds(chunk):
             return True
         if not self.copy.add(chunk, data):
@@ -216,7 +221,7 @@
         return True
 
     def add_local_chunk(self, chunk: int, data: bytes, now: float) -> bool:
-        """Take a chunk that lay on the own machine; False if spoilt."""
+        """Take a chunk found on this machine; False if it is corrupt."""
         if self.copy is None or self.copy.holds(chunk):
             return True
         if not self.copy.add(chunk, data):
@@ -225,9 +230,10 @@
         return True
 
     def origin_read_failed(self, chunk: int, now: float) -> None:
-        """Note that a read from the origin has failed."""
+        """Record that a read from the origin has failed."""
         self._reads.pop(chunk, None)
-        # It fails for the other readers too, so none of them is gone.
+        # Reads fail for the other readers too, so a chunk that doesn't turn
+        # up is no sign that its reader is gone.
         self._readable_since.clear()
         self.schedule.read_failed(now)
 
@@ -235,11 +241,11 @@
 
     @property
     def complete(self) -> bool:
-        """Whether the whole copy is held and verified."""
+        """Whether every chunk is held and verified."""
         return self.copy is not None and self.copy.complete
 
     def status(self) -> CopyStatus:
-        """Give how it stands, for the log."""
+        """Return the progress for the log."""
         known = self._known()
         return CopyStatus(
             self.copy.held_count if self.copy else 0,
@@ -250,21 +256,21 @@
         )
 
     def known_chunk_count(self) -> int:
-        """Give how many chunks are held here or by a peer."""
+        """Return the number of chunks that are held here or by a peer."""
         return self._known().bit_count()
 
     def all_known(self) -> bool:
-        """Tell whether each chunk is held here or by a peer."""
+        """Whether each chunk is held here or by a peer."""
         return self.copy is not None and self._known() == self._all_chunks
 
     def is_half_known(self) -> bool:
-        """Tell whether half of the chunks are held here or by a peer."""
+        """Whether at least half of the chunks are held here or by a peer."""
         return self.copy is not None and (
             2 * self.known_chunk_count() >= self._all_chunks.bit_count()
         )
 
     def can_request_from_peers(self, now: float) -> bool:
-        """Tell whether peers that may be asked hold what is missing here."""
+        """Whether a peer that isn't being avoided holds a missing chunk."""
         return any(
             peer.held & self._missing and peer.avoid_until <= now
             for peer in self.peers.values()
@@ -277,31 +283,31 @@
         return known
 
     def set_expected_peers(self, names: set[str]) -> None:
-        """Note which peers there are.
+        """Set the names of the peers that should report.
 
-        Once all have told what they hold, there is nothing more to wait for
-        before the origin is read.
+        Once all have reported what they hold, the origin is read without
+        further waiting.
         """
         if names and names <= self.peers.keys():
             self.schedule.all_peers_reported()
 
     def size_of(self, chunk: int) -> int:
-        """Give the bytes of a chunk, 0 where that isn't known."""
+        """Return the size of a chunk in bytes, 0 if it isn't known."""
         if self.copy is None or chunk == MANIFEST_INDEX:
             return 0
         return chunk_bytes(self.copy.manifest, chunk)
 
     def bitmap(self) -> bytes:
-        """Give what is held, for a Have; empty without a manifest."""
+        """Return the bitmap of held chunks, empty without a manifest."""
         return self.copy.bitmap() if self.copy else b''
 
     def plan_reads(
         self, now: float, reserve: Callable[[int], bool]
     ) -> list[Action]:
-        """Give what to read from the origin, or whom to ask for a manifest.
+        """Return reads from the origin, or the request for the manifest.
 
-        What is given is noted as under way. `reserve` takes a number of
-        bytes from the downlink's budget and tells whether they were there.
+        They count as started. `reserve` takes a number of bytes from the
+        downlink's budget and returns False if it is used up.
         """
         if self.complete:
             return []
@@ -315,7 +321,7 @@
     def plan_requests(
         self, now: float, reserve: Callable[[int], bool]
     ) -> list[Action]:
-        """Give the requests to peers to make now, as `plan_reads` does."""
+        """Return the requests to send to peers now, as `plan_reads` does."""
         if self.copy is None or self.complete:
             return []
         actions: list[Action] = []
@@ -375,10 +381,11 @@
         return chunk if self.reads_in_order else self._rng.random()
 
     def _readable_chunks(self, now: float) -> int:
-        """Give the chunks that may be read now, whoever reads them.
+        """Return the chunks that may be read now, by any agent.
 
-        They go by the last one that has turned up: an agent is linked to some
-        of the others only, and hears of the ones before it later.
+        The window starts after the last known chunk, not at the first
+        unknown one: an agent is linked to only some of the others and may
+        receive the announcements of earlier chunks later.
         """
         if not self.reads_in_order:
             return self._all_chunks
@@ -396,7 +403,7 @@
             return self.schedule.is_due(chunk, now)
         read_s = max(
             [
-                self._read_s,
+                self._mean_read_s,
                 *(now - started for started in self._reads.values()),
             ]
         )
@@ -409,10 +416,10 @@
         now: float,
         reserve: Callable[[int], bool],
     ) -> None:
-        """Read what this agent is to bring over and nobody here has.
+        """Read this agent's share of the chunks that its region lacks.
 
-        Peers' uplinks are what a copy on many instances waits for; the
-        origin's link is several times as wide and idle once every chunk was
+        A copy on many instances is limited by peers' uplinks. The origin's
+        link is several times as wide, and idle once every chunk has been
         read there.
         """
         wanted = self._missing & ~self._pending() & ~self._held_in_region()
@@ -430,8 +437,8 @@
         now: float,
         reserve: Callable[[int], bool],
     ) -> None:
-        # Everybody waits for a chunk that is read; what peers send meanwhile
-        # would take the downlink from it.
+        # All agents wait for a chunk that is being read; chunks from peers
+        # would compete with it for the downlink.
         reads_first = self.reads_in_order and not self.all_known()
         limit = (
             MAX_REQUESTS_DURING_READS if reads_first and self._reads else None
@@ -441,8 +448,8 @@
         ):
             wanted = self._missing & ~self._pending()
             offers = self._offers(wanted, now)
-            # What this agent is to bring over for its region goes before
-            # what it can have nearby: the others wait for it.
+            # Chunks that this agent is to import for its region go before
+            # those held nearby, as the other agents wait for them.
             imports = self.imports.own_share(
                 wanted & ~self._held_in_region(), now
             )
@@ -514,8 +521,8 @@
         return request.sent_at
 
     def _expire_requests(self, now: float) -> None:
-        # A peer that stalls, or one whose link lost the request, would keep
-        # its chunks from being asked for elsewhere.
+        # Without a deadline, a chunk requested from a peer that stalls, or
+        # whose link lost the request, would never be requested elsewhere.
         cutoff = now - sources.deadline_s(self._latency_s)
         for chunk, name in self._requests.sent_before(cutoff):
             self._remove_request(chunk, name)
@@ -550,8 +557,8 @@
 
     def _chunk_added(self, chunk: int, now: float) -> None:
         self._missing &= ~(1 << chunk)
-        if not self._seen >> chunk & 1:
-            self._seen |= 1 << chunk
+        if not self._seen_chunks >> chunk & 1:
+            self._seen_chunks |= 1 << chunk
             self.schedule.chunks_found(1, now)
         if self.complete:
             self.completed_at = now
