--- a/packages/burdockchute-agent/burdockchute_agent/copy_manager.py
+++ b/packages/burdockchute-agent/burdockchute_agent/copy_manager.py
@@ -1,4 +1,8 @@
-"""All copies that this instance holds or makes, and their exchange."""
+"""Manages all copies of weights that this instance holds or makes.
+
+It keeps one copier per digest, decides which copies may read the origin and
+request chunks from peers, and carries out what the copiers plan.
+"""
 
 from __future__ import annotations
 
@@ -38,15 +42,18 @@
 from burdockchute_agent.policy import Policy
 from burdockchute_agent.weights_metrics import WeightsMetrics
 
+# The longest wait between two ticks.
 IDLE_S = 0.05
 
 
 def copies_reading_origin(active: Sequence[Copier]) -> list[Copier]:
-    """Give the copies that may read the origin, of those in their order.
+    """Return those of the ordered copies that may read the origin.
 
-    One at a time, since the origin may fail with neither of two whole. One of
-    which half is out goes first: its rest is out in little time, and agents
-    can finish it by themselves then. A copy whose reads fail holds up none.
+    Only one copy has chunks read at a time that no agent holds yet: if two
+    shared the origin and it failed, neither might be complete. A copy of
+    which agents hold half of the chunks goes first, since the remainder takes
+    little time and the agents can then complete it without the origin. A copy
+    whose reads fail doesn't block the others.
     """
     unread = [
         c for c in active if not c.all_known() and not c.schedule.is_failing
@@ -61,26 +68,29 @@
 def copies_requesting_chunks(
     active: Sequence[Copier], now: float
 ) -> list[Copier]:
-    """Give the copies that may ask peers, of those in their order.
+    """Return those of the ordered copies that may request chunks.
 
-    What is asked for a later one takes of the uplinks that the earlier one
-    waits for.
+    Later copies wait while an earlier one can request chunks from peers,
+    because both would share the peers' uplinks.
     """
-    for number, copier in enumerate(active):
+    for position, copier in enumerate(active):
         if copier.can_request_from_peers(now):
-            return list(active[: number + 1])
+            return list(active[: position + 1])
     return list(active)
 
 
 class WeightsSource(NamedTuple):
-    """Where weights come from first, and how peers' manifests are read."""
+    """How to open the origin and how to parse manifests from peers."""
 
     open_origin: Callable[[], OriginClient]
     parse_manifest: Callable[[bytes, str], Result]
 
 
 class CopyManager:
-    """Copies by digest, the peers, and what goes to and fro."""
+    """The copies by digest, and their exchange with peers and the origin.
+
+    No chunk is requested for the digests in `awaiting_local_scan`.
+    """
 
     def __init__(
         self,
@@ -94,8 +104,7 @@
         now: float,
         paced: bool = False,
     ) -> None:
-        # Copies of which no chunk is asked for yet: the own machine may hold
-        # them, and is looked through first.
+        # Chunks of these may be on this machine, which is searched first.
         self.awaiting_local_scan: set[str] = set()
         self.origin_reads = OriginReads(source.open_origin, inbox.put)
         self._own = own
@@ -124,7 +133,7 @@
         )
 
     def stop(self) -> None:
-        """Stop all that is under way."""
+        """Stop all reads and close the links to peers."""
         self.origin_reads.stop_all()
         self._peers.close_all()
 
@@ -133,37 +142,37 @@
         self._bandwidth.note_live(count, now)
 
     def complete_copy(self, digest: str) -> Copy | None:
-        """Give a copy if every chunk of it is held and verified."""
+        """Return a copy if every chunk of it is held and verified."""
         copier = self._copiers.get(digest)
         return copier.copy if copier is not None and copier.complete else None
 
     def completed_at(self, digest: str) -> float | None:
-        """Give when a copy became whole."""
+        """Return when a copy was completed, in monotonic seconds."""
         copier = self._copiers.get(digest)
         return copier.completed_at if copier is not None else None
 
     def size_of(self, digest: str) -> int:
-        """Give the size of weights in bytes, 0 while it isn't known."""
+        """Return the size of a copy in bytes, 0 while it isn't known."""
         copy = self.copy_of(digest)
         return copy.manifest.size if copy else 0
 
     def progress(self, digest: str) -> tuple[int, int]:
-        """Give how many chunks are held, and of how many."""
+        """Return the numbers of held chunks and of all chunks."""
         copy = self.copy_of(digest)
         return (copy.held_count, len(copy.manifest.chunks)) if copy else (0, 0)
 
     def known(self, digest: str) -> int:
-        """Give how many chunks are held here or by a peer."""
+        """Return the number of chunks that are held here or by a peer."""
         copier = self._copiers.get(digest)
         return copier.known_chunk_count() if copier is not None else 0
 
     def full_copy_s(self, digest: str) -> float:
-        """Give what a whole copy takes over the own link at the least."""
+        """Return the least time in seconds that a copy takes on this link."""
         size = self.size_of(digest)
         return size / self._bandwidth.receive_rate if size else float('inf')
 
     def log_progress(self) -> None:
-        """Write a line on each copy that is not whole."""
+        """Log the progress of each incomplete copy."""
         for digest, copier in self._copiers.items():
             if not copier.complete:
                 event(
@@ -175,12 +184,12 @@
                 )
 
     def held_bytes(self) -> int:
-        """Give the memory that all copies take."""
+        """Return the bytes of memory that all copies take."""
         copies = [copier.copy for copier in self._copiers.values()]
         return sum(copy.held_bytes for copy in copies if copy)
 
     def is_served_by(self, name: str, digest: str) -> bool:
-        """Tell whether a peer has said that it serves a digest."""
+        """Whether a peer has announced that it serves a digest."""
         peer = self._peers.links.get(name)
         have = peer.haves.get(digest) if peer else None
         return have is not None and bool(have.open)
@@ -188,7 +197,7 @@
     def set_engine_phase(
         self, digest: str, loading: bool, is_open: bool
     ) -> None:
-        """Tell peers whether the engine loads or serves a digest."""
+        """Announce to peers whether the engine loads or serves a digest."""
         if digest in self._copiers:
             self._announcements.set_phase(digest, loading, is_open)
 
@@ -199,12 +208,12 @@
         now: float,
         importers: Mapping[str, tuple[str, ...]] | None = None,
     ) -> None:
-        """Take the copies to hold, and who else hosts them, by digest.
+        """Set the copies to hold and the agents that host them, by digest.
 
-        `targets` stand in the order in which their copies go: an earlier one
-        takes of the downlink first. `importers` names those in the own
-        region, who share the bringing of chunks from other regions; without
-        it each brings its own.
+        `targets` are in order of priority: the copy of an earlier one uses
+        the downlink first. `importers` names the agents of this region,
+        which divide the import of chunks from other regions among them;
+        without it each agent imports its own.
         """
         self._order = tuple(dict.fromkeys(t.digest for t in targets))
         self._hosts = hosts
@@ -224,19 +233,19 @@
             self._set_readers(digest)
 
     def copy_of(self, digest: str) -> Copy | None:
-        """Give a wanted copy, whole or not, once its manifest is known."""
+        """Return a target's copy, complete or not, None without manifest."""
         copier = self._copiers.get(digest)
         return copier.copy if copier is not None else None
 
     def manifest_of(self, digest: str) -> Manifest | None:
-        """Give the manifest of a wanted copy once it is known."""
+        """Return the manifest of a target, None while it isn't known."""
         copy = self.copy_of(digest)
         return copy.manifest if copy else None
 
     def add_local_chunk(
         self, digest: str, index: int, data: bytes, now: float
     ) -> bool:
-        """Take a chunk that lay on the own machine; False if it is spoilt."""
+        """Take a chunk found on this machine; False if it is corrupt."""
         copier = self._copiers.get(digest)
         if copier is None or copier.complete:
             return True
@@ -247,7 +256,7 @@
         return True
 
     def missing_chunks(self, digest: str) -> list[int]:
-        """Give the chunks that a wanted copy still lacks."""
+        """Return the chunks that a copy lacks, none without a manifest."""
         copy = self.copy_of(digest)
         if copy is None:
             return []
@@ -257,7 +266,7 @@
     # What arrives.
 
     def handle(self, message: object, now: float) -> None:
-        """Take a message about copies or peers."""
+        """Handle a message about copies or peers."""
         match message:
             case ManifestRead(digest=digest, outcome=outcome):
                 self._receiver.manifest_read(digest, outcome, now)
@@ -295,7 +304,10 @@
     # What to do.
 
     def tick(self, now: float) -> float:
-        """Ask, send and tell what is due; gives when to come back at most."""
+        """Send the requests, chunks and announcements that are due.
+
+        Return the longest time in seconds until the next call.
+        """
         self._peers.tick(now)
         self._bandwidth.refill(now, self._paced)
         self.origin_reads.close_idle(now)
@@ -312,7 +324,8 @@
             if copier.copy is not None and digest in self.awaiting_local_scan:
                 continue
             active.append(copier)
-        # Copies of unlike rows have nothing to do with each other.
+        # Without pacing the copies belong to different rows and are
+        # independent of each other.
         for copier in (
             copies_reading_origin(active) if self._paced else reversed(active)
         ):
@@ -384,8 +397,8 @@
         event('copy_released', digest=digest)
 
     def _skip_unreachable(self) -> None:
-        # A reader before us that can't be reached is most likely dead; the
-        # platform's list says so only later.
+        # An earlier reader that can't be reached is most likely dead; the
+        # platform's list shows that only later.
         unreachable = self._peers.unreachable()
         if unreachable != self._unreachable:
             self._unreachable = unreachable
