--- a/packages/burdockchute-agent/burdockchute_agent/weights_states.py
+++ b/packages/burdockchute-agent/burdockchute_agent/weights_states.py
@@ -14,7 +14,7 @@
     switch: RowSwitch,
     tracker: EngineStateTracker,
     gate: Gate,
-    copying: CopyManager,
+    copies: CopyManager,
 ) -> list[messages.WeightsState]:
     """Return one state for each digest that is wanted or loaded for a row."""
     digests = set(tracker.loaded(switch.kind, switch.name))
@@ -22,7 +22,7 @@
         digests.add(switch.target.digest)
     states = []
     for digest in sorted(digests):
-        held, total = copying.progress(digest)
+        held, total = copies.progress(digest)
         is_loading = digest in tracker.loading(switch.kind, switch.name)
         is_complete = held == total > 0
         states.append(
--- a/packages/burdockchute-agent/burdockchute_agent/weights_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/weights_task.py
@@ -1,10 +1,10 @@
-"""The task that brings the weights of the hosted rows to this instance.
+"""Task that copies and loads the weights of the rows this instance hosts.
 
-It decides which rows the instance hosts, copies their weights, gives the
-engine its orders and owns the gates. Everything that happens reaches it as a
-message in its inbox; after that, and many times a second, it looks at what is
-the case and takes the next step for each row. So nothing depends on a single
-message having arrived.
+It decides which rows the instance hosts, copies their weights, sends orders
+to the engine and owns the gates. All events arrive as messages in its inbox.
+After each message, and many times a second, it derives the next step of each
+row from the current state, so that no step depends on a single message
+having arrived.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
 from burdockchute_agent.weights_states import states_of
 from burdockchute_agent.weights_states import weights_of
 
-ROWS_S = 0.02
+ROW_CHECK_S = 0.02
 REGISTER_RETRY_S = 1.0
 NO_FENCE = -1
 
@@ -68,13 +68,13 @@
 class WeightsTask:
     """Copies, orders and gates of one instance.
 
-    `uplink` and `downlink` are the instance's link in bytes per second.
-    `register` appends this agent's registration to the log and gives its
-    offset, the fencing number. `source` gives the base URL of the admin
-    HTTP, from which the engine fetches weights. `services` names the plain
-    services that the upstream can run. `live_bytes` gives how many bytes
-    of live requests this instance's link has carried so far; copies stand
-    back for them. `seed` makes the random choices repeatable.
+    `uplink` and `downlink` are the capacity of the instance's link in bytes
+    per second. `register` appends this agent's registration to the log and
+    returns its offset, the fencing number. `source` returns the base URL of
+    the admin HTTP server, from which the engine fetches weights. `services`
+    names the plain services that the upstream can run. `live_bytes` returns
+    the total bytes that live requests have put on this instance's link;
+    copies yield bandwidth to them. `seed` makes random choices repeatable.
     """
 
     def __init__(
@@ -110,7 +110,7 @@
         self._tracker = EngineStateTracker(now)
         self._engine = EngineTask(upstream_url, self.inbox.put)
         self._peers = Peers(self._own, hello, self.inbox, rng)
-        self._copying = CopyManager(
+        self._copies = CopyManager(
             self._own,
             WeightsSource(lambda: Origin(store_url, 1), parse),
             Bandwidth(uplink, downlink, now),
@@ -121,33 +121,33 @@
             now,
         )
         self._live_bytes = live_bytes
-        self._live_seen = 0
-        self._rows_at = now
+        self._counted_live_bytes = 0
+        self._rows_checked_at = now
         self._switches: dict[tuple[str, str], RowSwitch] = {}
         self._superseded = False
 
     def run(self) -> None:
         """Work until killed."""
-        helpers = []
+        greenlets = []
         if self._is_engine:
-            helpers.append(gevent.spawn(self._engine.run))
-            helpers.append(gevent.spawn(self._keep_registering))
+            greenlets.append(gevent.spawn(self._engine.run))
+            greenlets.append(gevent.spawn(self._register_until_done))
         try:
             wait_s = 0.0
             while True:
-                tasks.take_waiting(self.inbox, self._take_now, wait_s)
+                tasks.take_waiting(self.inbox, self._handle_now, wait_s)
                 wait_s = self._step(time.monotonic())
         finally:
-            gevent.killall(helpers, block=False)
-            self._copying.stop()
+            gevent.killall(greenlets, block=False)
+            self._copies.stop()
 
     def states(self) -> list[messages.WeightsState]:
-        """Return one state for each set of weights, as entries are told."""
+        """Return the state of each set of weights, as reported to entries."""
         return [
             state
             for switch in self._switches.values()
             for state in states_of(
-                switch, self._tracker, self.gate, self._copying
+                switch, self._tracker, self.gate, self._copies
             )
         ]
 
@@ -159,17 +159,17 @@
         return [row.name for row in rows if row.name in self._services]
 
     def weights_response(self, digest: str) -> WeightsContent | None:
-        """Give manifest and content of whole weights, None without them."""
-        copy = self._copying.complete_copy(digest)
+        """Return manifest and content of a complete copy, None without it."""
+        copy = self._copies.complete_copy(digest)
         if copy is None:
             return None
         return copy.manifest, copy.content()
 
     def held_bytes(self) -> int:
-        """Return the memory that all copies take."""
-        return self._copying.held_bytes()
+        """Return the memory that all copies take, in bytes."""
+        return self._copies.held_bytes()
 
-    def _keep_registering(self) -> None:
+    def _register_until_done(self) -> None:
         while True:
             result = self._register()
             if isinstance(result, Success):
@@ -178,17 +178,17 @@
             warn('registration_failed', reason=result.failure())
             gevent.sleep(REGISTER_RETRY_S)
 
-    def _take_now(self, message: object) -> None:
-        self._take(message, time.monotonic())
+    def _handle_now(self, message: object) -> None:
+        self._handle(message, time.monotonic())
 
-    def _take(self, message: object, now: float) -> None:
+    def _handle(self, message: object, now: float) -> None:
         match message:
             case TableChanged(table=table):
                 self._table = table
-                self._want_rows()
+                self._update_targets()
             case MembersChanged(members=members):
                 self._members = members
-                self._want_rows()
+                self._update_targets()
             case Registered(fence=fence):
                 self.fence = fence
                 event('registered', fence=fence)
@@ -197,9 +197,9 @@
             case OrderEnded():
                 self._order_ended(message, now)
             case _:
-                self._copying.handle(message, now)
+                self._copies.handle(message, now)
 
-    def _want_rows(self) -> None:
+    def _update_targets(self) -> None:
         if not self._is_engine:
             self.gate.set_services(frozenset(self.services()))
             return
@@ -213,7 +213,7 @@
                 plan.targets.get(row), plan.predecessors.get(row)
             )
         self._peers.want(plan.peers)
-        self._copying.set_targets(
+        self._copies.set_targets(
             list(plan.targets.values()), plan.hosts, time.monotonic()
         )
 
@@ -238,26 +238,28 @@
         for weights in self.gate.take_doubts():
             warn('answer_of_other_weights', digest=weights.digest)
             self._tracker.mark_doubtful(weights, now)
-        # Chunks come hundreds of times a second; the rows need no look
-        # after each.
-        if self._is_engine and now - self._rows_at >= ROWS_S:
-            self._rows_at = now
-            self._note_live(now)
-            self._find_loaded_rows()
+        # Chunks arrive hundreds of times a second; rows needn't be checked
+        # after each of them.
+        if self._is_engine and now - self._rows_checked_at >= ROW_CHECK_S:
+            self._rows_checked_at = now
+            self._count_live_bytes(now)
+            self._add_loaded_rows()
             self._check_superseded()
             for switch in self._switches.values():
                 self._step_row(switch, now)
-        return self._copying.tick(now)
+        return self._copies.tick(now)
 
-    def _note_live(self, now: float) -> None:
-        seen = self._live_bytes()
-        # The count falls when a link with an entry is closed.
-        self._copying.note_live_bytes(max(0, seen - self._live_seen), now)
-        self._live_seen = seen
+    def _count_live_bytes(self, now: float) -> None:
+        total = self._live_bytes()
+        # The total falls when a link with an entry is closed.
+        self._copies.note_live_bytes(
+            max(0, total - self._counted_live_bytes), now
+        )
+        self._counted_live_bytes = total
 
-    def _find_loaded_rows(self) -> None:
-        # What the engine has from before this agent started must be
-        # unloaded too if no row names it.
+    def _add_loaded_rows(self) -> None:
+        # Weights that were loaded before this agent started must be unloaded
+        # too if no row names them.
         for kind, name in self._tracker.rows():
             self._switch((kind, name))
 
@@ -266,8 +268,8 @@
             self.fence
         )
         if superseded and not self._superseded:
-            # Another agent has taken this instance over. Requests let in
-            # here could get answers of weights that it switches to.
+            # Another agent has taken over this instance. Requests admitted
+            # here could be answered by weights that it switches to.
             warn('superseded', fence=self.fence)
             self.gate.shut_all()
         self._superseded = superseded
@@ -280,7 +282,7 @@
         if self._superseded:
             return
         while True:
-            step = switching.next_step(self._situation(switch, now))
+            step = switching.next_step(self._row_state(switch, now))
             if isinstance(step, switching.OpenGate):
                 self._open(switch, step.digest)
             elif isinstance(step, switching.CloseGate):
@@ -288,16 +290,16 @@
             else:
                 break
         if isinstance(step, switching.Load | switching.Unload):
-            self._give_order(switch, step, now)
+            self._send_order(switch, step, now)
         if switch.target is not None:
             digest = switch.target.digest
-            self._copying.set_engine_phase(
+            self._copies.set_engine_phase(
                 digest,
                 digest in loading,
                 self.gate.is_open(weights_of(switch, digest)),
             )
 
-    def _situation(self, switch: RowSwitch, now: float) -> switching.RowState:
+    def _row_state(self, switch: RowSwitch, now: float) -> switching.RowState:
         target = switch.target
         digest = target.digest if target else ''
         loaded = self._tracker.loaded(switch.kind, switch.name)
@@ -307,7 +309,7 @@
             if (gate.weights.kind, gate.weights.name)
             == (switch.kind, switch.name)
         ]
-        copy = self._copying.complete_copy(digest) if digest else None
+        copy = self._copies.complete_copy(digest) if digest else None
         return switching.RowState(
             wanted=digest,
             complete=copy is not None,
@@ -316,35 +318,35 @@
             is_open=frozenset(g.weights.digest for g in gates if g.is_open),
             in_flight={g.weights.digest: g.in_flight for g in gates},
             may_load=target is not None and self._may_load(switch, now),
-            settled=target is not None and self._settled(target),
-            base_loaded=target is not None and self._base_loaded(target),
+            settled=target is not None and self._is_settled(target),
+            base_loaded=target is not None and self._is_base_loaded(target),
             fits_two_versions=switch.fits_two_versions,
         )
 
     def _may_load(self, switch: RowSwitch, now: float) -> bool:
-        # Where nothing is served yet a load takes nothing away.
+        # A load interrupts nothing if no version is loaded yet.
         if not self._tracker.loaded(switch.kind, switch.name):
             return True
         digest = switch.target.digest if switch.target else ''
-        whole_since = self._copying.completed_at(digest)
-        if whole_since is None:
+        completed_at = self._copies.completed_at(digest)
+        if completed_at is None:
             return False
         name = switch.predecessor
         known = pacing.Predecessor(
             is_open=name is not None
-            and self._copying.is_served_by(name, digest),
+            and self._copies.is_served_by(name, digest),
             gone=name in self._peers.unreachable(),
         )
-        return pacing.may_load(name, known, whole_since, now)
+        return pacing.may_load(name, known, completed_at, now)
 
-    def _settled(self, target: Target) -> bool:
+    def _is_settled(self, target: Target) -> bool:
         weights = Weights(target.kind, target.name, target.digest)
-        settle_s = switching.settle_s(self._copying.size_of(target.digest))
+        settle_s = switching.settle_s(self._copies.size_of(target.digest))
         return self.fence != NO_FENCE and self._tracker.is_settled(
             weights, self.fence, target.checks_fencing, settle_s
         )
 
-    def _base_loaded(self, target: Target) -> bool:
+    def _is_base_loaded(self, target: Target) -> bool:
         if target.kind != 'adapter':
             return True
         base = self._switch(('model', target.base)).target
@@ -366,7 +368,7 @@
             in_flight=self.gate.in_flight(weights),
         )
 
-    def _give_order(
+    def _send_order(
         self,
         switch: RowSwitch,
         step: switching.Load | switching.Unload,
@@ -377,7 +379,7 @@
         order = switch.make_order(
             step,
             self.fence,
-            self._copying.size_of(step.digest),
+            self._copies.size_of(step.digest),
             self._source(),
         )
         switch.order_sent(order)
