--- a/packages/burdockchute-agent/burdockchute_agent/app.py
+++ b/packages/burdockchute-agent/burdockchute_agent/app.py
@@ -1,4 +1,4 @@
-"""Wiring of the agent's tasks."""
+"""The agent's application: wires its tasks together."""
 
 from __future__ import annotations
 
@@ -27,14 +27,15 @@
 from burdockchute_agent.weights_task import manifest_header
 from burdockchute_agent.weights_task import WeightsTask
 
-# After the last request has ended its answer may still be on its way
-# through a slow link.
-FLUSH_S = 2.0
+# Once the last request has ended, its answer may still be in transit over a
+# slow link.
+FLUSH_TIMEOUT_S = 2.0
 
-# An entry may hand a request on before it has read that we leave. Such a
-# request is refused as not run; a link that closed under it would leave it
-# open whether it ran. A second is many times the way between two regions.
-LINGER_S = 1.0
+# An entry may dispatch a request before it has read that this agent is
+# leaving. The agent refuses it as not run; if it closed the link instead, the
+# entry couldn't tell whether the request ran. A second is many times the
+# latency between two regions.
+REFUSE_BEFORE_CLOSE_S = 1.0
 
 
 class App:
@@ -72,15 +73,15 @@
         )
 
     def _live_bytes(self) -> int:
-        # Answers are what live requests put on the link; a request is small.
+        # Only answers are counted, as requests are small.
         return sum(link.bytes_sent for link in self.entries)
 
     def table_offset(self) -> int:
-        """Give the highest offset applied."""
+        """Return the highest table offset applied."""
         return self.rows.table.offset
 
     def serve(self) -> int:
-        """Run until a signal asks to stop; give the exit status."""
+        """Run until a signal requests a stop; return the exit status."""
         self.lifetime.begin()
         link_server = links.listen(
             self.cfg.address,
@@ -100,10 +101,10 @@
         )
         if not self.lifetime.run_until_stopped(self._loops()):
             return tasks.EXIT_TASK_FAILED
-        return self._leave(link_server)
+        return self._shut_down(link_server)
 
     def status(self) -> dict[str, Any]:
-        """Give what this process holds and does."""
+        """Return the status document of this process."""
         return {
             **self.lifetime.status(),
             'table_offset': self.table_offset(),
@@ -138,12 +139,12 @@
         )
 
     def _weights_page(self, digest: str) -> http_admin.Response:
-        held = self.weights.weights_response(digest)
-        if held is None:
+        content = self.weights.weights_response(digest)
+        if content is None:
             return http_admin.as_json(
                 {'error': f'no whole copy of {digest!r}'}, '404 Not Found'
             )
-        manifest, chunks = held
+        manifest, chunks = content
         headers = [
             ('Content-Type', 'application/octet-stream'),
             ('Burdockchute-Manifest', manifest_header(manifest)),
@@ -159,9 +160,9 @@
             if event.link.peer.role == 'agent':
                 self.weights.inbox.put(event)
             else:
-                self._entry_event(event)
+                self._handle_entry_event(event)
 
-    def _entry_event(self, event: links.Event) -> None:
+    def _handle_entry_event(self, event: links.Event) -> None:
         self.rows.inbox.put(event)
         if isinstance(event, links.Opened):
             self.entries[event.link] = None
@@ -175,14 +176,14 @@
         elif isinstance(event.message, messages.Cancel):
             self.runner.cancel(event.message.request_id)
 
-    def _leave(self, link_server: Any) -> int:
+    def _shut_down(self, link_server: Any) -> int:
         logs.event('leaving', running=self.runner.running())
         self.runner.leaving = True
         self.reports.send_now()
-        gevent.sleep(LINGER_S)
+        gevent.sleep(REFUSE_BEFORE_CLOSE_S)
         drained = self.runner.drain(self.cfg.drain_s)
         for link in list(self.entries):
-            link.flush(FLUSH_S)
+            link.flush(FLUSH_TIMEOUT_S)
         link_server.stop(timeout=0)
         logs.event('stopped', drained=drained, left=self.runner.running())
         return 0 if drained else 1
