--- a/packages/burdockchute-agent/burdockchute_agent/reports.py
+++ b/packages/burdockchute-agent/burdockchute_agent/reports.py
@@ -1,7 +1,7 @@
-"""Load reports to the entries: on each change and every second.
+"""Load reports to the entries, on each change and about once a second.
 
-Entries place requests by these. They lag by at most POLL_S behind what the
-upstream itself reports; the entry adds what it has sent since.
+Entries place requests by these reports, which lag by at most POLL_S behind
+the state of the upstream; an entry adds the requests it has sent since.
 """
 
 from __future__ import annotations
@@ -30,23 +30,23 @@
 POLL_S = 0.5
 CHANGE_CHECK_S = 0.05
 
-# A report costs each entry a wake-up for each of its agents. While requests
-# come and go entries need the numbers of the last second; while nothing
-# changes the report only shows that the agent is there, and may be as old as
-# half of what placement still believes (5 s). It comes before a heartbeat
-# would, so that the link needs none.
+# Each report wakes up the entry, once for each of its agents. While the load
+# changes, entries need figures at most a second old. While it doesn't, a
+# report only shows that the agent is alive and may be up to half as old as
+# placement accepts (5 s). It is sent before a heartbeat is due, so that the
+# link needs no heartbeats.
 BUSY_REPORT_S = 1.0
 IDLE_REPORT_S = 1.8
 UPSTREAM_TIMEOUT_S = 1.0
 
-# Misses in a row before the upstream counts as away. One is a pause of its
-# garbage collector; three are longer than any of the stand-ins or engines
-# pause while they answer anything.
-MAX_MISSES = 3
+# Failed polls in a row after which the upstream counts as unavailable. A
+# single one may be a garbage collection pause; three last longer than any
+# pause of an engine, or of a stand-in, that still answers.
+MAX_FAILED_POLLS = 3
 
 
 class UpstreamLoad(NamedTuple):
-    """What the upstream reports of itself."""
+    """The load that the upstream reports."""
 
     running: int = 0
     waiting: int = 0
@@ -56,7 +56,7 @@
 
 
 class ReportsTask:
-    """Polls the upstream and tells entries."""
+    """Polls the upstream and sends load reports to the entries."""
 
     def __init__(
         self,
@@ -71,15 +71,15 @@
         self._table_offset = table_offset
         self._links: dict[links.Link, None] = {}
         self._load = UpstreamLoad()
-        self._misses = 0
+        self._failed_polls = 0
         self._cache = PendingCacheChanges()
         self._next_event = 0
-        self._sent: tuple = ()
+        self._sent_state: tuple = ()
         self._sent_at = 0.0
-        self._sent_load: tuple = ()
+        self._sent_load_state: tuple = ()
 
     def run(self) -> None:
-        """Poll and report for ever."""
+        """Poll and report until killed."""
         gevent.spawn(self._poll)
         while True:
             gevent.sleep(CHANGE_CHECK_S)
@@ -87,27 +87,27 @@
                 self.send_now()
 
     def opened(self, link: links.Link) -> None:
-        """Tell a new entry at once."""
+        """Add the link of a new entry and send it a report at once."""
         self._links[link] = None
         self._send_to(link, self.report(NO_CACHE_CHANGES))
 
     def closed(self, link: links.Link) -> None:
-        """Stop telling an entry."""
+        """Stop sending reports over a link."""
         self._links.pop(link, None)
 
     def send_now(self) -> None:
         """Send a report to every entry."""
         now = time.monotonic()
-        self._sent = self._key()
-        self._sent_load = self._load_key()
+        self._sent_state = self._urgent_state()
+        self._sent_load_state = self._load_state()
         self._sent_at = now
         report = self.report(self._cache.take(now))
         for link in list(self._links):
             self._send_to(link, report)
 
-    def report(self, news: CacheChanges) -> messages.LoadReport:
-        """Give the report of this moment."""
-        away = self._misses >= MAX_MISSES
+    def report(self, changes: CacheChanges) -> messages.LoadReport:
+        """Return the current report, with the given cache changes."""
+        is_unavailable = self._failed_polls >= MAX_FAILED_POLLS
         return messages.LoadReport(
             instance=self._cfg.name,
             running=self._runner.running(),
@@ -115,29 +115,29 @@
             slots=self._load.slots,
             tokens_per_s=self._load.tokens_per_s,
             leaving=self._runner.leaving,
-            weights=[] if away else self._weights.states(),
-            services=[] if away else self._weights.services(),
-            prefixes=news.stored,
+            weights=[] if is_unavailable else self._weights.states(),
+            services=[] if is_unavailable else self._weights.services(),
+            prefixes=changes.stored,
             table_offset=self._table_offset(),
             prefill_tokens_per_s=round(self._load.prefill_tokens_per_s),
-            evicted=news.evicted,
+            evicted=changes.evicted,
             entries=max(1, len(self._links)),
         )
 
     def _is_due(self, now: float) -> bool:
-        if self._key() != self._sent:
+        if self._urgent_state() != self._sent_state:
             return True
-        is_busy = self._load_key() != self._sent_load
+        is_busy = self._load_state() != self._sent_load_state
         wait_s = BUSY_REPORT_S if is_busy else IDLE_REPORT_S
         return now >= self._sent_at + wait_s
 
-    def _load_key(self) -> tuple:
+    def _load_state(self) -> tuple:
         return (self._runner.running(), self._load.waiting, self._load.slots)
 
-    def _key(self) -> tuple:
+    def _urgent_state(self) -> tuple:
         return (
             self._runner.leaving,
-            self._misses >= MAX_MISSES,
+            self._failed_polls >= MAX_FAILED_POLLS,
             tuple(
                 (state.row, state.digest, state.phase)
                 for state in self._weights.states()
@@ -156,9 +156,9 @@
         while True:
             try:
                 poll_once()
-                self._note_answer()
+                self._record_poll()
             except (OSError, ValueError, responses.HTTPParseError):
-                self._note_miss()
+                self._record_failed_poll()
             gevent.sleep(POLL_S)
 
     def _poll_engine(self) -> Callable[[], None]:
@@ -172,37 +172,38 @@
             load = json.loads(client.get('/load').read())
             self._load = _load_of(load)
             path = f'/cache/events?from={self._next_event}'
-            self._note_cache(json.loads(client.get(path).read()))
+            self._record_cache_events(json.loads(client.get(path).read()))
 
         return poll_once
 
     def _poll_service(self) -> None:
-        # A plain service knows no status page; any call could be one that
-        # may not be repeated. That it takes connections has to do.
+        # A plain service has no status page, and any call to it could be one
+        # that must not be repeated. So only its accepting connections is
+        # checked.
         parts = parse.urlsplit(self._cfg.upstream_url)
         address = (parts.hostname, parts.port)
         socket.create_connection(address, UPSTREAM_TIMEOUT_S).close()
 
-    def _note_cache(self, page: dict) -> None:
+    def _record_cache_events(self, page: dict) -> None:
         for event in page.get('events', ()):
-            note = (
+            record = (
                 self._cache.stored
                 if event['act'] == 'stored'
                 else self._cache.evicted
             )
-            note(event['prefix'])
+            record(event['prefix'])
         self._next_event = page.get('next', self._next_event)
 
-    def _note_answer(self) -> None:
-        if self._misses >= MAX_MISSES:
+    def _record_poll(self) -> None:
+        if self._failed_polls >= MAX_FAILED_POLLS:
             logs.event('upstream_back')
-        self._misses = 0
+        self._failed_polls = 0
 
-    def _note_miss(self) -> None:
-        self._misses += 1
-        if self._misses == MAX_MISSES:
-            # The engine's cache and weights may be gone with it; events of
-            # the one that comes back are numbered anew.
+    def _record_failed_poll(self) -> None:
+        self._failed_polls += 1
+        if self._failed_polls == MAX_FAILED_POLLS:
+            # The engine may have lost its cache and weights. Once it is back
+            # its events are numbered from 0 again.
             self._cache.clear()
             self._next_event = 0
             logs.warn('upstream_away', url=self._cfg.upstream_url)
