--- a/packages/burdockchute-agent/burdockchute_agent/staged/__init__.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/__init__.py
@@ -1,5 +1,5 @@
-"""Weights that an agent stages beside its engine, which loads them itself.
+"""Staging of weights for an engine that loads them itself.
 
-This is the way on platforms whose engines keep a staging area and take one
-order to load what lies there.
+Used on platforms whose engines have a staging area and load its content on a
+single order.
 """
--- a/packages/burdockchute-agent/burdockchute_agent/staged/origins.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/origins.py
@@ -1,7 +1,7 @@
-"""The platform's origin of weights, as copies read it.
+"""The platform's origin of weights, behind the interface that copies use.
 
-Copies are known by one name, `model@version`, which stands where the
-project's own weights have a root digest.
+Each copy has a name, `model@version`, which takes the place of the root
+digest that weights of the project's own store have.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def copy_name(model: str, version: int) -> str:
-    """Give the name of a copy.
+    """Return the name of a copy.
 
     >>> copy_name('story', 3)
     'story@3'
@@ -26,7 +26,7 @@
 
 
 def parse_copy_name(name: str) -> tuple[str, int]:
-    """Give model and version of a copy's name."""
+    """Return the model and version that a copy's name consists of."""
     model, _at, version = name.rpartition('@')
     return model, int(version)
 
@@ -46,14 +46,14 @@
     def chunk(
         self, manifest: Manifest, index: int
     ) -> Result[bytes, OriginError]:
-        """Read one chunk; its length is right, its digest not yet checked."""
+        """Read one chunk and check its length; its digest is not checked."""
         model, version = parse_copy_name(manifest.digest)
         result = self._origin.chunk(model, version, index).alt(_error)
         if isinstance(result, Success):
             data = result.unwrap()
             self.bytes_read += len(data)
             if len(data) != chunk_bytes(manifest, index):
-                text = f'{len(data)} bytes are no chunk'
+                text = f'wrong chunk length: {len(data)} bytes'
                 return Result.from_failure(OriginError(text, 200))
         return result
 
@@ -63,18 +63,18 @@
 
 
 class NoOrigin:
-    """Stands in while no configuration has named an origin."""
+    """Origin used while no configuration names one; every read fails."""
 
     bytes_read = 0
 
     def manifest(self, digest: str) -> Result[Manifest, OriginError]:
-        """Fail: nobody to ask."""
+        """Fail, as there is no origin."""
         return Result.from_failure(OriginError(f'no origin for {digest!r}'))
 
     def chunk(
         self, manifest: Manifest, index: int
     ) -> Result[bytes, OriginError]:
-        """Fail: nobody to ask."""
+        """Fail, as there is no origin."""
         return Result.from_failure(OriginError('no origin'))
 
     def close(self) -> None:
--- a/packages/burdockchute-agent/tests/test_state_sources.py
+++ b/packages/burdockchute-agent/tests/test_state_sources.py
@@ -1,4 +1,4 @@
-"""Whom an agent relies on to hear what operators want."""
+"""From which entries an agent receives the desired state."""
 
 from __future__ import annotations
 
@@ -13,17 +13,18 @@
     def setUp(self):
         self.sources = DesiredStateSources(100.0)
 
-    def test_a_new_agent_waits_a_moment_to_be_told(self):
+    def test_new_agent_waits_for_entries(self):
         self.assertFalse(self.sources.must_read_store(100.1))
         self.assertTrue(
             self.sources.must_read_store(100.0 + STORE_FALLBACK_DELAY_S)
         )
 
-    def test_an_agent_that_starts_does_not_wait_to_be_found(self):
+    def test_starting_agent_waits_only_briefly(self):
         """Engines are added while the others are saturated.
 
-        Entries find a new engine in the list up to a second later. Until
-        then its copy has not begun, and callers wait for its places.
+        Entries find a new engine in the list up to a second later. If its
+        agent waited for them, its copy would start that much later, while
+        callers wait for its slots.
         """
         self.assertTrue(
             self.sources.must_read_store(100.0 + STARTUP_FALLBACK_DELAY_S)
@@ -33,7 +34,7 @@
             self.sources.must_read_store(100.0 + STARTUP_FALLBACK_DELAY_S)
         )
 
-    def test_it_relies_on_entries_for_as_long_as_they_are_linked(self):
+    def test_store_is_not_read_while_an_entry_is_linked(self):
         self.sources.update('first', True, 100.1)
         self.sources.update('second', True, 100.2)
         self.sources.closed('first', 120.0)
@@ -44,10 +45,10 @@
             self.sources.must_read_store(160.0 + STORE_FALLBACK_DELAY_S)
         )
 
-    def test_an_entry_that_the_store_turns_away_is_not_relied_on(self):
-        """The store serves the agent and none of the entries it hears from.
+    def test_entry_without_store_contact_does_not_count(self):
+        """The store serves the agent but none of the entries linked to it.
 
-        The agent sees a new version only if it asks by itself.
+        The agent finds a new version only if it reads the store itself.
         """
         self.sources.update('first', True, 100.1)
         self.sources.update('first', False, 110.0)
@@ -57,7 +58,7 @@
         self.sources.update('first', True, 112.0)
         self.assertFalse(self.sources.must_read_store(130.0))
 
-    def test_one_that_was_never_informed_is_not_waited_for(self):
+    def test_entry_that_never_had_store_contact_does_not_count(self):
         self.sources.update('first', False, 100.0)
         self.sources.closed('first', 100.6)
         self.assertTrue(
