--- a/packages/burdockchute-agent/burdockchute_agent/staged/app.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/app.py
@@ -1,4 +1,4 @@
-"""Wiring of an agent that stages weights beside its engine."""
+"""The staging agent's application: wires its tasks together."""
 
 from __future__ import annotations
 
@@ -31,15 +31,16 @@
 from burdockchute_agent.staged.staged_task import StagedTask
 from burdockchute_agent.staged.state_sources import DesiredStateSources
 
-# An agent reads the list only to know its peers, and asks for weights for
-# seconds; reading it more often would cost calls and gain nothing. A read that
-# was lost is noticed after its wait; until then the peers are as before, and
-# new ones open their links to it by themselves.
+# An agent reads the list only to find its peers, and copies take seconds, so
+# more frequent reads would cost calls without any gain. A lost read is noticed
+# after its wait; until then the known peers remain, and new peers open links
+# to this agent.
 UPSTREAMS_CADENCE = Cadence(wait_s=15.0, period_s=3.0, settling_s=SETTLING_S)
 
-# Without an entry that tells it what operators want, an agent follows the
-# wishes as entries do, but takes saves in a row together.
-ALONE_PERIOD_S = 1.0
+# An agent that receives the desired state from no entry reads it from the
+# store as entries do, but at an interval that combines changes saved in quick
+# succession.
+STORE_READ_PERIOD_S = 1.0
 
 
 class StagedApp:
@@ -56,16 +57,16 @@
         rng = random.Random()
         identity = cfg.identity(machine)._replace(name=self._name)
         self.lifetime = Lifetime(identity, 'agent', lambda: 0)
-        self._alone_cadence = Cadence(
-            longest_wait_s(machine.bounds.contact_s), ALONE_PERIOD_S
+        self._store_cadence = Cadence(
+            longest_wait_s(machine.bounds.contact_s), STORE_READ_PERIOD_S
         )
         self._desired_state_sources = DesiredStateSources(time.monotonic())
         self.follower = Follower(
             adapter.open_feeds(machine.store),
-            self._changed,
+            self._known_state_changed,
             time.monotonic,
             rng,
-            self._wishes_cadence,
+            self._desired_state_cadence,
             UPSTREAMS_CADENCE,
         )
         self.staged = StagedTask(
@@ -85,7 +86,7 @@
         self.inbox: queue.Queue = queue.Queue()
 
     def serve(self) -> int:
-        """Run until a signal asks to stop; give the exit status."""
+        """Run until a signal requests a stop; return the exit status."""
         machine = self._machine
         self.lifetime.begin(self._reload)
         self._watch()
@@ -123,7 +124,7 @@
         return report.running + report.waiting if report else None
 
     def status(self) -> dict[str, Any]:
-        """Give what this process holds and does."""
+        """Return the status document of this process."""
         report = self.staged.report
         return {
             **self.lifetime.status(),
@@ -137,11 +138,11 @@
             self.follower.follow_upstreams,
             self.staged.run,
             self.reports.run,
-            self._sort_links,
+            self._route_events,
         ]
 
-    def _sort_links(self) -> None:
-        """Hand links of entries to the reports and of agents to copies."""
+    def _route_events(self) -> None:
+        """Route events of entries' links to reports, of agents' to copies."""
         while True:
             event = self.inbox.get()
             if event.link.peer.role != 'entry':
@@ -154,11 +155,11 @@
                     event.link, time.monotonic()
                 )
             elif isinstance(event.message, messages.LinkProbe):
-                self.reports.give_back(event.link, event.message)
+                self.reports.return_probe(event.link, event.message)
             elif isinstance(
                 event.message, messages.CrashNews | messages.LinkNews
             ):
-                self.reports.hand_on(event.link, event.message)
+                self.reports.forward(event.link, event.message)
             elif isinstance(event.message, messages.WishesNews):
                 self._update_desired_state(
                     event.link, event.message, time.monotonic()
@@ -175,11 +176,11 @@
         if needs is not None:
             self.follower.hear_needs(needs)
 
-    def _wishes_cadence(self) -> Cadence | None:
-        is_alone = self._desired_state_sources.must_read_store(
+    def _desired_state_cadence(self) -> Cadence | None:
+        must_read = self._desired_state_sources.must_read_store(
             time.monotonic()
         )
-        return self._alone_cadence if is_alone else None
+        return self._store_cadence if must_read else None
 
     def _reload(self) -> None:
         self._machine = site_settings.reload(
@@ -187,7 +188,7 @@
         )
         self.staged.bounds = self._machine.bounds
 
-    def _changed(self, beliefs: Beliefs) -> None:
+    def _known_state_changed(self, beliefs: Beliefs) -> None:
         self.staged.inbox.put(beliefs)
 
     def _slots(self) -> int:
--- a/packages/burdockchute-agent/burdockchute_agent/staged/reports_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/reports_task.py
@@ -1,4 +1,4 @@
-"""Load reports to the entries, from what the engine beside says."""
+"""Load reports to the entries, made of the reports of the local engine."""
 
 from __future__ import annotations
 
@@ -17,23 +17,24 @@
 from burdockchute_agent.staged.origins import copy_name
 from burdockchute_agent.staged.staged_task import StagedTask
 
-# A change of load is told this often. Six entries at ten reports a second
-# each take two hundredths of an engine's thin link.
-REPORT_S = 0.15
+# Minimum interval between reports of changed load. Ten reports a second to
+# each of six entries take 2% of an engine's narrow link.
+REPORT_INTERVAL_S = 0.15
 
-# A report costs each entry a wake-up; what has not changed is told this
-# often, well within the time for which entries believe it.
-IDLE_REPORT_S = 1.8
+# Interval between reports without changes. Each report wakes up the entry;
+# this is well below the time for which entries consider a report valid.
+IDLE_REPORT_INTERVAL_S = 1.8
 
 OPEN = 'open'
 
-# Closing and opening times are told in steps of this; -1 stands for none.
-CLOSING_STEP_S = 0.25
+# Closing and opening times are rounded down to multiples of this.
+FORECAST_STEP_S = 0.25
+# Value on the wire for an engine that isn't expected to close.
 NEVER = -1
 
 
 class ReportsTask:
-    """Tells each entry what changed; `entries` are the links to them."""
+    """Sends changed reports to each entry; `entries` are their links."""
 
     def __init__(
         self,
@@ -46,50 +47,52 @@
         self._staged = staged
         self._slots = slots
         self._beliefs = beliefs
-        self._told_histories: Mapping[str, History] = {}
+        self._reported_histories: Mapping[str, History] = {}
         self._name = name
-        self._told: messages.LoadReport | None = None
-        self._told_at = 0.0
+        self._reported: messages.LoadReport | None = None
+        self._reported_at = 0.0
 
     def run(self) -> None:
-        """Report for ever."""
+        """Report until killed."""
         while True:
-            self.tell(time.monotonic())
-            gevent.sleep(REPORT_S)
+            self.report_changes(time.monotonic())
+            gevent.sleep(REPORT_INTERVAL_S)
 
     def opened(self, link: links.Link) -> None:
-        """Take a new link to an entry, and tell it all at once."""
+        """Add a new link to an entry and send the full state over it."""
         self.entries[link] = None
-        report = self.current()
+        report = self.current_report()
         beliefs = self._beliefs()
         report.named = news_of(beliefs.histories, time.monotonic())
         report.configuration = beliefs.newest_configuration()
         self._send_frame(link, links.frame_of(report))
 
     def closed(self, link: links.Link) -> None:
-        """Forget a link."""
+        """Remove a link."""
         self.entries.pop(link, None)
 
-    def give_back(self, link: links.Link, probe: messages.LinkProbe) -> None:
-        """Return an entry's probe of its link."""
+    def return_probe(
+        self, link: links.Link, probe: messages.LinkProbe
+    ) -> None:
+        """Send an entry's probe of its link back unchanged."""
         self._send_frame(link, links.frame_of(probe))
 
-    def hand_on(
+    def forward(
         self, link: links.Link, news: messages.CrashNews | messages.LinkNews
     ) -> None:
-        """Tell all other entries what one has said."""
+        """Forward an event from one entry to all others."""
         frame = links.frame_of(news)
         for other in list(self.entries):
             if other is not link:
                 self._send_frame(other, frame)
 
-    def current(self) -> messages.LoadReport:
-        """Give the report as of now."""
+    def current_report(self) -> messages.LoadReport:
+        """Return the current report."""
         report = self._staged.report
-        in_hand = report.running + report.waiting if report else 0
+        in_flight = report.running + report.waiting if report else 0
         return messages.LoadReport(
             instance=self._name,
-            running=in_hand,
+            running=in_flight,
             waiting=report.waiting if report else 0,
             slots=self._slots(),
             tokens_per_s=0.0,
@@ -115,23 +118,27 @@
         )
 
     def _opens_in_ms(self) -> int | None:
-        # Left out where it serves, so that reports in quiet grow by nothing.
+        # Omitted while the engine serves, to keep regular reports small.
         opens_in_s = self._staged.opens_in_s()
         return None if opens_in_s is None else _milliseconds(opens_in_s)
 
-    def tell(self, now: float) -> None:
-        """Tell all entries what has changed by now."""
-        current = self.current()
+    def report_changes(self, now: float) -> None:
+        """Send all entries a report if it changed or the last one is old."""
+        current = self.current_report()
         histories = self._beliefs().histories
-        is_news = histories != self._told_histories
-        is_due = current != self._told or now - self._told_at >= IDLE_REPORT_S
-        if not is_news and not is_due:
+        has_new_versions = histories != self._reported_histories
+        is_due = (
+            current != self._reported
+            or now - self._reported_at >= IDLE_REPORT_INTERVAL_S
+        )
+        if not has_new_versions and not is_due:
             return
-        self._told = current
-        self._told_at = now
-        self._told_histories = histories
-        if is_news:
-            # What was told is kept without ages, which are no change.
+        self._reported = current
+        self._reported_at = now
+        self._reported_histories = histories
+        if has_new_versions:
+            # The stored report has no version ages: they grow constantly and
+            # must not count as changes.
             current = copy.copy(current)
             current.named = news_of(histories, now)
         frame = links.frame_of(current)
@@ -142,12 +149,13 @@
         try:
             link.send_frame(frame)
         except links.LinkError:
-            # Its closing is on its way in the inbox.
+            # The event of its closing is still to come in the inbox.
             self.closed(link)
 
 
 def _milliseconds(seconds: float | None) -> int:
     if seconds is None:
         return NEVER
-    # Rounded, as a report that has not changed isn't sent again.
-    return int(seconds / CLOSING_STEP_S) * int(CLOSING_STEP_S * 1000)
+    # Rounded so that the report stays equal, and isn't sent again, while the
+    # estimate changes only slightly.
+    return int(seconds / FORECAST_STEP_S) * int(FORECAST_STEP_S * 1000)
--- a/packages/burdockchute-agent/tests/test_staged_reports.py
+++ b/packages/burdockchute-agent/tests/test_staged_reports.py
@@ -1,4 +1,4 @@
-"""What an agent tells entries of its engine and of versions."""
+"""What an agent reports to entries of its engine and of versions."""
 
 from __future__ import annotations
 
@@ -43,89 +43,89 @@
         )
         clock.start()
         self.addCleanup(clock.stop)
-        # What is sent is looked at as the message that it was.
+        # Frames are the messages themselves, so that tests can inspect them.
         frames = mock.patch.object(links, 'frame_of', lambda message: message)
         frames.start()
         self.addCleanup(frames.stop)
         self.histories = {}
-        self.told = None
+        self.requirements = None
         self.staged = FakeStaged()
         self.task = reports_task.ReportsTask(
             self.staged,
             lambda: 4,
-            lambda: Beliefs(histories=self.histories, told=self.told),
+            lambda: Beliefs(histories=self.histories, told=self.requirements),
             '127.0.0.1:1',
         )
 
-    def named(self, version, at):
+    def name_version(self, version, at):
         history = self.histories.get('story', versions.History())
         history = versions.add_version(history, version, at)
         self.histories = {'story': history}
 
-    def test_a_new_entry_is_told_of_the_newest_configuration(self):
-        """The store may show it an older one, with a key revoked since."""
+    def test_new_entry_receives_the_newest_configuration(self):
+        """The store may return an older one, with a key revoked since."""
         first, second = FakeLink(), FakeLink()
         self.task.opened(first)
         self.assertEqual(0, first.frames[-1].configuration)
-        self.told = Needs(7, ('story',), 4, '10.0.0.8:80')
+        self.requirements = Needs(7, ('story',), 4, '10.0.0.8:80')
         self.task.opened(second)
         self.assertEqual(7, second.frames[-1].configuration)
 
-    def test_a_crash_is_handed_on_to_the_other_entries(self):
+    def test_crash_is_forwarded_to_the_other_entries(self):
         first, second = FakeLink(), FakeLink()
         self.task.opened(first)
         self.task.opened(second)
         news = messages.CrashNews('f-1', 'i-1', True, True)
-        self.task.hand_on(first, news)
+        self.task.forward(first, news)
         self.assertNotIn(news, first.frames)
         self.assertEqual(news, second.frames[-1])
 
-    def test_news_of_a_slow_link_is_handed_on(self):
+    def test_report_of_a_slow_link_is_forwarded(self):
         """Entries have no links to each other."""
         first, second = FakeLink(), FakeLink()
         self.task.opened(first)
         self.task.opened(second)
         news = messages.LinkNews('10.0.0.1:1', True)
-        self.task.hand_on(first, news)
+        self.task.forward(first, news)
         self.assertNotIn(news, first.frames)
         self.assertEqual(news, second.frames[-1])
 
-    def test_a_probe_is_returned_as_it_came(self):
-        """The entry knows it by its time."""
+    def test_probe_is_returned_unchanged(self):
+        """The entry identifies the probe by its time."""
         link = FakeLink()
         probe = messages.LinkProbe(12345678901)
-        self.task.give_back(link, probe)
+        self.task.return_probe(link, probe)
         self.assertEqual([probe], link.frames)
 
-    def test_a_new_link_hears_how_long_versions_are_known(self):
-        self.named(2, None)
-        self.named(3, 97.5)
+    def test_new_link_receives_the_ages_of_versions(self):
+        self.name_version(2, None)
+        self.name_version(3, 97.5)
         link = FakeLink()
         self.task.opened(link)
-        told = [
+        reported = [
             (item.model, item.version, item.age_ms)
             for item in link.frames[0].named
         ]
-        self.assertEqual([('story', 3, 2500), ('story', 2, -1)], told)
+        self.assertEqual([('story', 3, 2500), ('story', 2, -1)], reported)
 
-    def test_when_an_engine_opens_is_told_while_it_is_closed(self):
-        """Callers wait for engines that copy; in quiet nobody asks.
+    def test_opening_time_is_reported_while_the_engine_is_closed(self):
+        """Callers wait for an engine that copies; otherwise it isn't needed.
 
-        A report goes to every entry some times a second, so what says
-        nothing is left out of it.
+        A report goes to every entry several times a second, so fields without
+        information are omitted.
         """
-        self.assertIsNone(self.task.current().opens_in_ms)
+        self.assertIsNone(self.task.current_report().opens_in_ms)
         self.staged.opens = 3.1
-        self.assertEqual(3000, self.task.current().opens_in_ms)
+        self.assertEqual(3000, self.task.current_report().opens_in_ms)
 
-    def test_a_naming_is_told_once(self):
+    def test_new_version_is_reported_once(self):
         link = FakeLink()
         self.task.opened(link)
-        self.task.tell(self.now)
-        self.named(2, 100.0)
+        self.task.report_changes(self.now)
+        self.name_version(2, 100.0)
         self.now += 0.2
         for _time in range(4):
-            self.task.tell(self.now)
+            self.task.report_changes(self.now)
         news = [frame for frame in link.frames if frame.named]
         self.assertEqual(1, len(news))
         self.assertEqual(200, news[0].named[0].age_ms)
