--- a/packages/burdockchute-agent/burdockchute_agent/staged/forecast.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/forecast.py
@@ -1,8 +1,8 @@
-"""When the own engine is likely to close for a load, and to open after it.
+"""Estimates when the engine will close for a load, and open again.
 
-Entries hear of both with the reports: what lasts long keeps away from an
-engine that is about to close, and callers wait for one that opens soon. The
-estimates themselves are in `decisions/staging.py`.
+Both times are reported to entries: long requests avoid an engine that is
+about to close, and callers wait for an engine that opens soon. The formulas
+are in `decisions/staging.py`.
 """
 
 from __future__ import annotations
@@ -22,37 +22,40 @@
 
 
 class AvailabilityForecast(NamedTuple):
-    """What an agent knows for its estimates.
+    """The state from which an agent estimates these times.
 
-    `report` is the engine's own, None while it does not answer. `version_s`
-    is how long a version may be served once it was replaced. `before` gives
-    the agent whose load of a copy comes before ours, None for none.
+    `report` is the engine's last report, None while it doesn't answer.
+    `version_s` is how long a version may be served after it was replaced.
+    `predecessor` returns the agent that loads a copy before this one, if any.
     """
 
     report: EngineReport | None
     rollouts: Collection[Rollout]
-    copying: CopyManager
+    copies: CopyManager
     history: Callable[[str], History]
     version_s: float
     link_bytes_per_s: float
-    before: Callable[[str], str | None]
+    predecessor: Callable[[str], str | None]
 
     def closes_in_s(self, now: float) -> float | None:
-        """Estimate when the engine takes nothing new, None for not soon."""
-        return _first(self._closes_in_s(r, now) for r in self.rollouts)
+        """Estimate the seconds until the engine closes, None if not soon.
+
+        A closed engine starts no new requests.
+        """
+        return _earliest(self._closes_in_s(r, now) for r in self.rollouts)
 
     def opens_in_s(self, now: float) -> float | None:
-        """Estimate when the engine takes requests again.
+        """Estimate the seconds until the engine starts requests again.
 
-        None where it does now, or where nothing tells.
+        None if it does now, or if no estimate is possible.
         """
-        return _first(self._opens_in_s(r, now) for r in self.rollouts)
+        return _earliest(self._opens_in_s(r, now) for r in self.rollouts)
 
     def _closes_in_s(self, rollout: Rollout, now: float) -> float | None:
         loaded = servable_versions(self.report).get(rollout.model)
         if loaded is None:
             return None
-        progress = rollout.next_load(loaded, self.copying)
+        progress = rollout.next_load(loaded, self.copies)
         if progress is None:
             return None
         history = self.history(rollout.model)
@@ -61,11 +64,11 @@
         if named_at is not None:
             limit_s = self.version_s - staging.FINAL_LOAD_S
             limit_in_s = named_at + limit_s - now
-        before = self.before(rollout.name(progress.version))
+        predecessor = self.predecessor(rollout.copy_name_of(progress.version))
         return staging.closes_in_s(
             progress.share,
             rollout.copying_s(progress.version, now),
-            before is not None,
+            predecessor is not None,
             limit_in_s,
         )
 
@@ -73,43 +76,43 @@
         if self.report is None:
             return None
         history = self.history(rollout.model)
-        least = versions.least_allowed(history, self.version_s, now)
+        min_version = versions.least_allowed(history, self.version_s, now)
         loaded = servable_versions(self.report).get(rollout.model)
-        if loaded is not None and loaded >= least:
+        if loaded is not None and loaded >= min_version:
             return None
         if self.report.loading:
             drain_s = staging.DRAIN_S if self.report.running else 0.0
             return staging.LOAD_S + drain_s
-        return _first(
+        return _earliest(
             self._copied_in_s(rollout, version, now)
             for version in rollout.held_versions()
-            if version >= least
+            if version >= min_version
         )
 
     def _copied_in_s(
         self, rollout: Rollout, version: int, now: float
     ) -> float | None:
-        name = rollout.name(version)
-        held, count = self.copying.progress(name)
-        if not count:
+        name = rollout.copy_name_of(version)
+        held, total = self.copies.progress(name)
+        if not total:
             return None
-        share = held / count
+        share = held / total
         rate = copy_rates.CAP_SHARE * self.link_bytes_per_s
-        rest_s = (1 - share) * self.copying.size_of(name) / rate
+        remainder_s = (1 - share) * self.copies.size_of(name) / rate
         return staging.opens_in_s(
-            share, rollout.copying_s(version, now), rest_s
+            share, rollout.copying_s(version, now), remainder_s
         )
 
 
 def servable_versions(report: EngineReport | None) -> dict[str, int]:
-    """Give the versions on which an engine may begin requests.
+    """Return the versions on which an engine may start requests, by model.
 
-    While it loads it takes nothing new, so there are none.
+    There are none while it loads, as it starts no requests then.
     """
     if report is None or report.loading:
         return {}
     return dict(report.versions)
 
 
-def _first(times: Iterable[float | None]) -> float | None:
+def _earliest(times: Iterable[float | None]) -> float | None:
     return min((time for time in times if time is not None), default=None)
--- a/packages/burdockchute-agent/burdockchute_agent/staged/loading.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/loading.py
@@ -1,8 +1,9 @@
-"""Puts a whole copy into the staging area and has the engine load it.
+"""Stages a complete copy and orders the engine to load it.
 
-What lies in the staging area can spoil, and an engine loads it as it lies
-there. An answer made with one spoilt chunk is worthless and looks sound, so
-every chunk is read back and checked in the seconds before the order.
+Chunks in the staging area can become corrupt, and an engine loads them
+unchecked. Answers computed with one corrupt chunk are worthless but look
+valid, so every chunk is read back and verified in the seconds before the
+order.
 """
 
 from __future__ import annotations
@@ -19,18 +20,18 @@
 from burdockchute.weights import manifest as manifests
 from burdockchute.weights.copies import Copy
 
-# A check that took longer than this is too old for an order: chunks that
-# spoilt in the last three seconds before an order are not held against it.
+# A check that took longer than this is too old for an order. The platform
+# tolerates chunks that became corrupt in the last three seconds before one.
 MAX_CHECK_S = 2.0
 
-# Rounds of staging and checking before it is left to the next look.
+# Rounds of staging and checking before the load is left to a later attempt.
 MAX_ROUNDS = 4
 
 
 class ChunksStaged(NamedTuple):
-    """Chunks of a copy were staged before it is whole.
+    """Chunks of a copy were staged before it is complete.
 
-    `reason` says why some were not, empty where all were.
+    `reason` says why some were not; it is empty if all were.
     """
 
     model: str
@@ -40,7 +41,7 @@
 
 
 class LoadEnded(NamedTuple):
-    """An order to load has ended; `end` is None where none was given."""
+    """An order to load has ended; `end` is None if none was sent."""
 
     model: str
     version: int
@@ -51,18 +52,18 @@
 def stage_chunks(
     engine: Engine, copy: Copy, model: str, version: int, chunks: list[int]
 ) -> ChunksStaged:
-    """Stage chunks as they come; gives those that lie there now.
+    """Stage chunks as they arrive; return those that are staged now.
 
-    What is staged outlives this process and a crash of the engine, and what
-    is in memory does not. An agent that is killed, or loses power, just
-    before its copy is whole would otherwise copy all of it again, while no
-    engine may serve: five seconds on a link that carries a copy in four.
+    Staged chunks survive this process and a crash of the engine, unlike those
+    in memory. An agent that is killed, or loses power, just before its copy
+    is complete would otherwise copy everything again, while no engine may
+    serve: five seconds on a link that carries a copy in four.
     """
     staged: list[int] = []
     for index in chunks:
         data = copy.chunk(index)
         if data is None:
-            # The copy was given up meanwhile.
+            # The copy was released meanwhile.
             break
         result = engine.stage(model, index, data)
         if isinstance(result, Failure):
@@ -79,36 +80,41 @@
     version: int,
     now: Callable[[], float],
 ) -> LoadEnded:
-    """Stage, check and order; gives how it ended."""
+    """Stage and verify a copy, order the load and return its outcome."""
     for _round in range(MAX_ROUNDS):
-        began = now()
-        spoilt = _replace_spoilt(engine, copy, model)
-        if spoilt is None:
+        started_at = now()
+        replaced = _replace_corrupt(engine, copy, model)
+        if replaced is None:
             return LoadEnded(model, version, None, 'engine does not answer')
         logs.event(
             'chunks_staged',
             model=model,
             version=version,
-            replaced=spoilt,
-            ms=int((now() - began) * 1000),
+            replaced=replaced,
+            ms=int((now() - started_at) * 1000),
         )
-        if not spoilt and now() - began < MAX_CHECK_S:
+        if not replaced and now() - started_at < MAX_CHECK_S:
             return _order(engine, model, version)
-    return LoadEnded(model, version, None, 'chunks spoil while staged')
+    return LoadEnded(
+        model, version, None, 'staged chunks keep becoming corrupt'
+    )
 
 
-def _replace_spoilt(engine: Engine, copy: Copy, model: str) -> int | None:
-    """Give how many chunks had to be staged; None without an answer."""
+def _replace_corrupt(engine: Engine, copy: Copy, model: str) -> int | None:
+    """Stage the missing and corrupt chunks and return their number.
+
+    None if the engine doesn't answer or the copy was released.
+    """
     replaced = 0
     for index in range(len(copy.manifest.chunks)):
-        lying = engine.staged(model, index)
-        if isinstance(lying, Failure):
-            if not lying.failure().status:
+        staged = engine.staged(model, index)
+        if isinstance(staged, Failure):
+            if not staged.failure().status:
                 return None
-            lying_data = b''
+            staged_data = b''
         else:
-            lying_data = lying.unwrap()
-        if manifests.check_chunk(copy.manifest, index, lying_data):
+            staged_data = staged.unwrap()
+        if manifests.check_chunk(copy.manifest, index, staged_data):
             continue
         data = copy.chunk(index)
         if data is None:
@@ -120,10 +126,10 @@
 
 
 def _order(engine: Engine, model: str, version: int) -> LoadEnded:
-    seen = engine.report()
-    if isinstance(seen, Failure):
-        return LoadEnded(model, version, None, seen.failure().reason)
-    report = seen.unwrap()
+    result = engine.report()
+    if isinstance(result, Failure):
+        return LoadEnded(model, version, None, result.failure().reason)
+    report = result.unwrap()
     if report.loading:
         return LoadEnded(model, version, None, 'engine is loading already')
     end = engine.load(Load(model, version, report.sequence))
--- a/packages/burdockchute-agent/burdockchute_agent/staged/rollout.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/rollout.py
@@ -1,6 +1,6 @@
-"""How far the own engine is with the versions of one model.
+"""State of the rollout of one model's versions on the local engine.
 
-It decides nothing by itself; see `decisions/staging.py`.
+The decisions themselves are in `decisions/staging.py`.
 """
 
 from __future__ import annotations
@@ -20,33 +20,33 @@
 
 
 class Copies(Protocol):
-    """What is asked of the copies that this instance makes."""
+    """The copies of this instance, as far as a rollout queries them."""
 
     def progress(self, digest: str) -> tuple[int, int]:
-        """Give how many chunks are held, and of how many."""
+        """Return the number of chunks held, and of all chunks."""
 
     def known(self, digest: str) -> int:
-        """Give how many chunks are held here or by a peer."""
+        """Return the number of chunks held by this instance or a peer."""
 
     def full_copy_s(self, digest: str) -> float:
-        """Give what a whole copy takes over the own link at the least."""
+        """Return the least time, in seconds, to copy it over our link."""
 
     def complete_copy(self, digest: str) -> object | None:
-        """Give a copy if it is whole."""
+        """Return a copy if it is complete."""
 
     def copy_of(self, digest: str) -> Copy | None:
-        """Give a copy, whole or not, once its size is known."""
+        """Return a copy, complete or not, once its size is known."""
 
 
 class EngineLoadState(NamedTuple):
-    """What the engine says: the version it holds and whether it loads."""
+    """The version that the engine has loaded and whether it is loading."""
 
     version: int | None
     loading: bool
 
 
 class ChunksToStage(NamedTuple):
-    """Chunks of a copy to put into the staging area before it is whole."""
+    """Chunks to put into the staging area before their copy is complete."""
 
     version: int
     copy: Copy
@@ -54,11 +54,11 @@
 
 
 class Rollout:
-    """One model.
+    """The rollout of one model.
 
-    `wanted` are the versions that are copied, the first before the others;
-    `ready` is the newest of which there is a whole copy; `busy` while that
-    is staged and ordered.
+    `wanted` are the versions to copy, in order of priority. `ready` is the
+    newest version with a complete copy. `load_in_progress` is set while that
+    copy is staged and its load is ordered.
     """
 
     def __init__(self, model: str) -> None:
@@ -66,41 +66,46 @@
         self.wanted: tuple[int, ...] = ()
         self.ready: int | None = None
         self.ordered_at: float | None = None
-        self.busy = False
-        self.pause_until = 0.0
-        # Chunks are being staged ahead of the order to load.
+        self.load_in_progress = False
+        self.retry_load_at = 0.0
+        # Whether chunks are being staged before the order to load.
         self.is_staging = False
-        self.stage_after = 0.0
+        self.retry_staging_at = 0.0
         self._staged: set[tuple[int, int]] = set()
-        self._began: dict[int, float] = {}
+        self._copying_since: dict[int, float] = {}
 
     def record_staged(self, version: int, chunks: Iterable[int]) -> None:
-        """Note chunks that lie in the staging area now."""
+        """Record chunks that are in the staging area now."""
         self._staged = {
             (each, chunk) for each, chunk in self._staged if each == version
         }
         self._staged.update((version, chunk) for chunk in chunks)
 
     def clear_staged(self) -> None:
-        """Note that nothing is known of the staging area any more."""
+        """Record that the content of the staging area is unknown."""
         self._staged.clear()
 
     def chunks_to_stage(
         self, engine: EngineLoadState, copies: Copies
     ) -> ChunksToStage | None:
-        """Give what to stage ahead, None for nothing now.
+        """Return the chunks to stage now, None if there are none.
 
-        What lies there is loaded as it is at the moment of an order. So
-        nothing is put there while a whole copy waits to be loaded, or while
-        the engine may still take an order.
+        An order loads the staging area as it is at that moment. So nothing
+        is staged while a complete copy waits to be loaded, or while the
+        engine may still act on an order.
         """
-        if self.busy or self.is_staging or engine.loading or not self.wanted:
+        if (
+            self.load_in_progress
+            or self.is_staging
+            or engine.loading
+            or not self.wanted
+        ):
             return None
         loaded = engine.version or 0
         if self.ready is not None and loaded < self.ready:
             return None
         version = self.wanted[0]
-        copy = copies.copy_of(self.name(version))
+        copy = copies.copy_of(self.copy_name_of(version))
         if copy is None or version == self.ready:
             return None
         chunks = [
@@ -110,28 +115,32 @@
         ]
         return ChunksToStage(version, copy, chunks) if chunks else None
 
-    def name(self, version: int) -> str:
-        """Give the name of a version's copy."""
+    def copy_name_of(self, version: int) -> str:
+        """Return the name of the copy of a version."""
         return copy_name(self.model, version)
 
     def update_ready(self, copies: Copies) -> None:
-        """Take up a copy that has become whole."""
+        """Set `ready` to the newest version whose copy is complete."""
         for version in self.wanted:
-            newer = self.ready is None or version > self.ready
-            if newer and copies.complete_copy(self.name(version)):
+            is_newer = self.ready is None or version > self.ready
+            if is_newer and copies.complete_copy(self.copy_name_of(version)):
                 self.ready = version
                 self.ordered_at = None
 
     def choose_versions(
         self, history: History, copies: Copies, limit_s: float, now: float
     ) -> None:
-        """Choose which versions to copy now."""
-        under_way = [
+        """Set `wanted` to the versions to copy now.
+
+        `limit_s` is how long the previous version may be served after a new
+        one was named.
+        """
+        candidates = [
             self._progress(version, history, copies, limit_s, now)
             for version in {*self.wanted, history.newest}
             if self.ready is None or version > self.ready
         ]
-        wanted = staging.versions_to_copy(history.newest, under_way)
+        wanted = staging.versions_to_copy(history.newest, candidates)
         if wanted == self.wanted:
             return
         logs.event(
@@ -140,38 +149,43 @@
             target=wanted[0],
             wanted=','.join(str(version) for version in wanted),
             newest=history.newest,
-            shares=','.join(f'{p.version}:{p.share:.2f}' for p in under_way),
-            known=','.join(f'{p.version}:{p.known:.2f}' for p in under_way),
+            shares=','.join(f'{p.version}:{p.share:.2f}' for p in candidates),
+            known=','.join(f'{p.version}:{p.known:.2f}' for p in candidates),
         )
         self.wanted = wanted
         for version in wanted:
-            self._began.setdefault(version, now)
+            self._copying_since.setdefault(version, now)
 
     def held_versions(self) -> list[int]:
-        """Give the versions of which copies are kept, the first first."""
+        """Return the versions whose copies are kept, by priority."""
         held = list(self.wanted)
         if self.ready is not None and self.ready not in held:
             held.append(self.ready)
         return held
 
-    def standing(self, engine: EngineLoadState) -> StagingState:
-        """Give what is known for the decision to order a load."""
+    def staging_state(self, engine: EngineLoadState) -> StagingState:
+        """Return the state on which the decision to order a load depends."""
         return StagingState(
             self.ready, engine.version, engine.loading, self.ordered_at
         )
 
     def next_load(self, loaded: int, copies: Copies) -> CopyProgress | None:
-        """Give the progress of what the engine loads next, if anything."""
+        """Return the progress of the version that the engine loads next.
+
+        None if it isn't to load another one.
+        """
         if self.ready is not None and loaded < self.ready:
             return CopyProgress(self.ready, 1.0)
         if not self.wanted or self.wanted[0] <= loaded:
             return None
         version = self.wanted[0]
-        return CopyProgress(version, _share(copies, self.name(version)))
+        return CopyProgress(
+            version, _held_share(copies, self.copy_name_of(version))
+        )
 
     def copying_s(self, version: int, now: float) -> float:
-        """Give for how long a version has been copied."""
-        return now - self._began.get(version, now)
+        """Return for how many seconds a version has been copied."""
+        return now - self._copying_since.get(version, now)
 
     def _progress(
         self,
@@ -182,21 +196,21 @@
         now: float,
     ) -> CopyProgress:
         named_at = versions.named_at(history, version)
-        useful_s = 0.0
+        serving_left_s = 0.0
         if named_at is not None:
-            useful_s = named_at + limit_s - versions.MARGIN_S - now
-        name = self.name(version)
+            serving_left_s = named_at + limit_s - versions.MARGIN_S - now
+        name = self.copy_name_of(version)
         _held, count = copies.progress(name)
         return CopyProgress(
             version,
-            _share(copies, name),
+            _held_share(copies, name),
             self.copying_s(version, now),
-            useful_s,
+            serving_left_s,
             copies.known(name) / count if count else 0.0,
             copies.full_copy_s(name),
         )
 
 
-def _share(copies: Copies, name: str) -> float:
+def _held_share(copies: Copies, name: str) -> float:
     held, count = copies.progress(name)
     return held / count if count else 0.0
--- a/packages/burdockchute-agent/burdockchute_agent/staged/staged_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/staged_task.py
@@ -1,8 +1,8 @@
-"""The task that brings the wanted version to the engine beside it.
+"""Task that copies the wanted version and has the local engine load it.
 
-Everything that happens reaches it as a message in its inbox; after each it
-looks at what is the case and takes the next step. Calls to the engine, which
-wait for answers, run in greenlets of their own and report back.
+All events arrive as messages in its inbox; after each one it derives the next
+step from the current state. Calls to the engine block until it answers, so
+they run in greenlets of their own, which put their results into the inbox.
 """
 
 from __future__ import annotations
@@ -53,32 +53,32 @@
 from burdockchute_agent.staged.rollout import EngineLoadState
 from burdockchute_agent.staged.rollout import Rollout
 
-# How often the engine is looked at; it is on the same machine and what it
-# tells is fresh, so this is the age of what entries learn of its load.
-LOOK_S = 0.1
+# Interval of polls of the engine. It is on the same machine, so its reports
+# are current, and this is their maximum age when sent to entries.
+ENGINE_POLL_S = 0.1
 
-# An engine that does not answer may still hold a copy; it is waited for this
-# long before the copy is asked for elsewhere.
-HOLD_S = 5.0
+# An engine that doesn't answer may still have a copy staged. Chunks are not
+# requested elsewhere before this time has passed.
+MAX_SCAN_WAIT_S = 5.0
 
-# One copy from the origin for all; a reader that fails is followed by the
-# next in order.
+# One copy is read from the origin for all agents; if a reader fails, the next
+# one in order takes over.
 ORIGIN_COPIES = 1.0
 
-# How a copy comes along is written this often: who looks for why a version
-# does not spread sees which chunks nobody near has.
-STANDING_S = 1.0
+# Interval of the log lines on the progress of copies. They show which chunks
+# no nearby agent has, to explain why a version doesn't spread.
+PROGRESS_LOG_S = 1.0
 
 
-class EngineLooked(NamedTuple):
-    """The engine's report, asked for at `at`, or why there is none."""
+class EnginePolled(NamedTuple):
+    """The engine's report, or why there is none."""
 
-    at: float
+    requested_at: float
     result: Result[EngineReport, CallFailed]
 
 
-class FoundHere(NamedTuple):
-    """All that lay in the staging area was looked through for a copy."""
+class StagingAreaScanned(NamedTuple):
+    """The staging area was scanned for the chunks of a copy."""
 
     name: str
     found: int
@@ -114,7 +114,7 @@
         )
         self._peers = Peers(self._own, hello, self.inbox, rng)
         link = machine.link_bytes_per_s
-        self._copying = CopyManager(
+        self._copies = CopyManager(
             self._own,
             WeightsSource(self._open_origin, parse_named),
             Bandwidth(link, link, now()),
@@ -126,90 +126,93 @@
             paced=True,
         )
         self._rollouts: dict[str, Rollout] = {}
-        self._looked_through: set[str] = set()
-        self._standing_at = 0.0
-        self._held_since: dict[str, float] = {}
+        self._scanned_copies: set[str] = set()
+        self._progress_logged_at = 0.0
+        self._scan_requested_at: dict[str, float] = {}
         self._hosts: tuple[str, ...] = (self._own.name,)
         self._region_hosts: tuple[str, ...] = self._hosts
 
     def run(self) -> None:
         """Work until killed."""
-        watch = gevent.spawn(self._watch_engine)
+        poller = gevent.spawn(self._poll_engine)
         try:
             wait_s = 0.0
             while True:
-                tasks.take_waiting(self.inbox, self._take, wait_s)
+                tasks.take_waiting(self.inbox, self._handle, wait_s)
                 wait_s = self._step(self._now())
         finally:
-            watch.kill(block=False)
-            self._copying.stop()
+            poller.kill(block=False)
+            self._copies.stop()
 
     def loaded(self) -> dict[str, int]:
-        """Give the versions on which the engine may begin requests."""
+        """Return the versions on which the engine may start requests."""
         return servable_versions(self.report)
 
     def held_bytes(self) -> int:
-        """Give the memory that all copies take."""
-        return self._copying.held_bytes()
+        """Return the memory that all copies take, in bytes."""
+        return self._copies.held_bytes()
 
     def closes_in_s(self) -> float | None:
-        """Estimate when the engine takes nothing new, None for not soon."""
+        """Estimate the seconds until the engine closes, None if not soon."""
         return self._forecast().closes_in_s(self._now())
 
     def opens_in_s(self) -> float | None:
-        """Estimate when the engine takes requests again, None for unknown."""
+        """Estimate the seconds until the engine starts requests again.
+
+        None if it does now, or if no estimate is possible.
+        """
         return self._forecast().opens_in_s(self._now())
 
     def _forecast(self) -> AvailabilityForecast:
         return AvailabilityForecast(
             self.report,
             self._rollouts.values(),
-            self._copying,
+            self._copies,
             lambda model: self._beliefs().history(model),
             self.bounds.version_s,
             self._machine.link_bytes_per_s,
-            self._before,
+            self._predecessor,
         )
 
-    # What arrives.
+    # Events.
 
-    def _watch_engine(self) -> None:
+    def _poll_engine(self) -> None:
         while True:
-            at = self._now()
-            self.inbox.put(EngineLooked(at, self._engine.report()))
-            gevent.sleep(LOOK_S)
+            requested_at = self._now()
+            self.inbox.put(EnginePolled(requested_at, self._engine.report()))
+            gevent.sleep(ENGINE_POLL_S)
 
-    def _take(self, message: object) -> None:
+    def _handle(self, message: object) -> None:
         match message:
             case Beliefs():
-                self._want_peers(message)
-            case EngineLooked(result=result):
-                self._looked(result)
+                self._update_peers(message)
+            case EnginePolled(result=result):
+                self._engine_polled(result)
             case LoadEnded():
                 self._load_ended(message)
             case ChunksStaged():
-                self._staged_ahead(message)
-            case FoundHere(name=name, found=found):
-                self._copying.awaiting_local_scan.discard(name)
+                self._chunks_staged(message)
+            case StagingAreaScanned(name=name, found=found):
+                self._copies.awaiting_local_scan.discard(name)
                 logs.event('chunks_found_here', copy=name, found=found)
             case _:
-                self._copying.handle(message, self._now())
+                self._copies.handle(message, self._now())
 
-    def _looked(self, result: Result[EngineReport, CallFailed]) -> None:
-        before = self.report
+    def _engine_polled(self, result: Result[EngineReport, CallFailed]) -> None:
+        previous = self.report
         if isinstance(result, Failure):
-            if before is not None:
+            if previous is not None:
                 logs.warn('engine_lost', reason=result.failure().reason)
             self.report = None
-            self._forget_staged()
+            self._clear_staged()
             return
         report = result.unwrap()
-        if before is not None and report.sequence < before.sequence:
-            self._forget_staged()
-        if before is None or (
-            dict(before.versions),
-            before.loading,
-            before.sequence,
+        if previous is not None and report.sequence < previous.sequence:
+            self._clear_staged()
+        if previous is None or (
+            dict(previous.versions),
+            previous.loading,
+            previous.sequence,
         ) != (dict(report.versions), report.loading, report.sequence):
             logs.event(
                 'engine_changed',
@@ -223,12 +226,12 @@
             )
         self.report = report
 
-    def _staged_ahead(self, staged: ChunksStaged) -> None:
+    def _chunks_staged(self, staged: ChunksStaged) -> None:
         rollout = self._rollouts[staged.model]
         rollout.is_staging = False
         rollout.record_staged(staged.version, staged.chunks)
         if staged.reason:
-            rollout.stage_after = self._now() + staging.ORDER_RETRY_S
+            rollout.retry_staging_at = self._now() + staging.ORDER_RETRY_S
             logs.warn(
                 'chunks_not_staged',
                 model=staged.model,
@@ -237,18 +240,18 @@
                 reason=staged.reason,
             )
 
-    def _forget_staged(self) -> None:
-        # It may have lost power, and what was staged with it.
+    def _clear_staged(self) -> None:
+        # The machine may have lost power, and with it the staged chunks.
         for rollout in self._rollouts.values():
             rollout.clear_staged()
 
     def _load_ended(self, ended: LoadEnded) -> None:
         rollout = self._rollouts[ended.model]
-        rollout.busy = False
+        rollout.load_in_progress = False
         now = self._now()
         if ended.end in (None, OrderEnd.REFUSED):
             rollout.ordered_at = None
-            rollout.pause_until = now + staging.ORDER_RETRY_S
+            rollout.retry_load_at = now + staging.ORDER_RETRY_S
         else:
             rollout.ordered_at = now
         logs.event(
@@ -259,23 +262,23 @@
             reason=ended.reason,
         )
 
-    # What to do.
+    # Steps.
 
     def _step(self, now: float) -> float:
         for model in self._models():
             rollout = self._rollouts.setdefault(model, Rollout(model))
             self._step_model(rollout, now)
         targets = self._targets()
-        self._copying.set_targets(
+        self._copies.set_targets(
             targets,
             {target.digest: self._hosts for target in targets},
             now,
             {target.digest: self._region_hosts for target in targets},
         )
-        if now - self._standing_at >= STANDING_S:
-            self._standing_at = now
-            self._copying.log_progress()
-        return self._copying.tick(now)
+        if now - self._progress_logged_at >= PROGRESS_LOG_S:
+            self._progress_logged_at = now
+            self._copies.log_progress()
+        return self._copies.tick(now)
 
     def _models(self) -> list[str]:
         needs = self._beliefs().needs(self._machine.service)
@@ -283,30 +286,36 @@
 
     def _step_model(self, rollout: Rollout, now: float) -> None:
         history = self._beliefs().history(rollout.model)
-        rollout.update_ready(self._copying)
+        rollout.update_ready(self._copies)
         rollout.choose_versions(
-            history, self._copying, self.bounds.version_s, now
+            history, self._copies, self.bounds.version_s, now
         )
         for version in rollout.wanted:
-            self._look_through(rollout.model, rollout.name(version), now)
-        engine = self._engine_with(rollout.model)
-        self._stage_ahead(rollout, engine)
+            self._scan_staging_area(
+                rollout.model, rollout.copy_name_of(version), now
+            )
+        engine = self._engine_state(rollout.model)
+        self._start_staging(rollout, engine)
         if rollout.ready is None:
             return
-        name = rollout.name(rollout.ready)
-        self._copying.set_engine_phase(
+        name = rollout.copy_name_of(rollout.ready)
+        self._copies.set_engine_phase(
             name, engine.loading, engine.version == rollout.ready
         )
-        if rollout.busy or rollout.is_staging or now < rollout.pause_until:
+        if (
+            rollout.load_in_progress
+            or rollout.is_staging
+            or now < rollout.retry_load_at
+        ):
             return
-        if not staging.may_order(rollout.standing(engine), now):
+        if not staging.may_order(rollout.staging_state(engine), now):
             return
-        copy = self._copying.complete_copy(name)
+        copy = self._copies.complete_copy(name)
         if copy is not None and self._is_our_turn(rollout, engine, now):
-            rollout.busy = True
+            rollout.load_in_progress = True
             gevent.spawn(self._load, copy, rollout.model, rollout.ready)
 
-    def _engine_with(self, model: str) -> EngineLoadState:
+    def _engine_state(self, model: str) -> EngineLoadState:
         if self.report is None:
             return EngineLoadState(None, True)
         return EngineLoadState(
@@ -316,46 +325,52 @@
     def _is_our_turn(
         self, rollout: Rollout, engine: EngineLoadState, now: float
     ) -> bool:
-        # Where nothing is served yet a load takes nothing away.
+        # A load interrupts nothing if no version is loaded yet.
         if engine.version is None or rollout.ready is None:
             return True
         history = self._beliefs().history(rollout.model)
         named_at = versions.named_at(history, rollout.ready)
         if staging.must_load(named_at, self.bounds.version_s, now):
             return True
-        name = rollout.name(rollout.ready)
-        before = self._before(name)
+        name = rollout.copy_name_of(rollout.ready)
+        predecessor = self._predecessor(name)
         known = pacing.Predecessor(
-            is_open=before is not None
-            and self._copying.is_served_by(before, name),
-            gone=before in self._peers.unreachable(),
+            is_open=predecessor is not None
+            and self._copies.is_served_by(predecessor, name),
+            gone=predecessor in self._peers.unreachable(),
         )
-        whole_since = self._copying.completed_at(name)
-        return whole_since is not None and pacing.may_load(
-            before, known, whole_since, now
+        completed_at = self._copies.completed_at(name)
+        return completed_at is not None and pacing.may_load(
+            predecessor, known, completed_at, now
         )
 
-    def _before(self, name: str) -> str | None:
-        """Give the agent whose load of a copy comes before ours."""
+    def _predecessor(self, name: str) -> str | None:
+        """Return the agent that loads a copy before this one, if any."""
         return pacing.predecessor(
             name, self._own.name, self._hosts, staging.LOADING_SHARE
         )
 
-    def _stage_ahead(self, rollout: Rollout, engine: EngineLoadState) -> None:
-        if self._now() < rollout.stage_after:
+    def _start_staging(
+        self, rollout: Rollout, engine: EngineLoadState
+    ) -> None:
+        if self._now() < rollout.retry_staging_at:
             return
-        ahead = rollout.chunks_to_stage(engine, self._copying)
-        if ahead is None or rollout.name(ahead.version) not in (
-            self._looked_through
+        to_stage = rollout.chunks_to_stage(engine, self._copies)
+        if to_stage is None or rollout.copy_name_of(to_stage.version) not in (
+            self._scanned_copies
         ):
             return
         rollout.is_staging = True
-        gevent.spawn(self._put_ahead, rollout.model, ahead)
+        gevent.spawn(self._stage_chunks, rollout.model, to_stage)
 
-    def _put_ahead(self, model: str, ahead: ChunksToStage) -> None:
+    def _stage_chunks(self, model: str, to_stage: ChunksToStage) -> None:
         self.inbox.put(
             loading.stage_chunks(
-                self._engine, ahead.copy, model, ahead.version, ahead.chunks
+                self._engine,
+                to_stage.copy,
+                model,
+                to_stage.version,
+                to_stage.chunks,
             )
         )
 
@@ -365,7 +380,7 @@
         )
 
     def _targets(self) -> list[Target]:
-        """Give the copies to hold, those that go first first."""
+        """Return the copies to hold, by priority."""
         return [
             _target(rollout.model, version)
             for rollout in self._rollouts.values()
@@ -382,14 +397,14 @@
             if upstream.service == machine.service
         ]
 
-    def _want_peers(self, beliefs: Beliefs) -> None:
+    def _update_peers(self, beliefs: Beliefs) -> None:
         members = {m.name: m for m in self._engines(beliefs)}
-        everyone = {**members, self._own.name: self._own}
-        self._hosts = tuple(sorted(everyone))
+        all_members = {**members, self._own.name: self._own}
+        self._hosts = tuple(sorted(all_members))
         self._region_hosts = tuple(
             name
             for name in self._hosts
-            if everyone[name].place.region == self._own.place.region
+            if all_members[name].place.region == self._own.place.region
         )
         chosen = neighbours(
             f'service/{self._machine.service}',
@@ -398,7 +413,7 @@
         )
         self._peers.want({name: members[name] for name in chosen})
 
-    # The origin and what lies here.
+    # The origin and the staging area.
 
     def _open_origin(self) -> OriginClient:
         needs = self._beliefs().needs(self._machine.service)
@@ -407,38 +422,38 @@
         address = self._adapter.endpoint(needs.origin)
         return PlatformOrigin(self._adapter.origin(address))
 
-    def _look_through(self, model: str, name: str, now: float) -> None:
-        """Take what lies in the staging area already.
+    def _scan_staging_area(self, model: str, name: str, now: float) -> None:
+        """Read the chunks of a copy that are in the staging area already.
 
         An agent that was restarted has no copy in memory, but its engine may
-        have one staged; reading it costs no link and no origin.
+        have one staged; reading it loads neither the link nor the origin.
         """
-        if name in self._looked_through:
+        if name in self._scanned_copies:
             return
-        manifest = self._copying.manifest_of(name)
-        since = self._held_since.setdefault(name, now)
-        if now - since > HOLD_S:
-            self._copying.awaiting_local_scan.discard(name)
+        manifest = self._copies.manifest_of(name)
+        requested_at = self._scan_requested_at.setdefault(name, now)
+        if now - requested_at > MAX_SCAN_WAIT_S:
+            self._copies.awaiting_local_scan.discard(name)
         elif manifest is None or self.report is None:
-            self._copying.awaiting_local_scan.add(name)
+            self._copies.awaiting_local_scan.add(name)
         if manifest is None or self.report is None:
             return
-        self._looked_through.add(name)
-        gevent.spawn(self._find_here, model, name)
+        self._scanned_copies.add(name)
+        gevent.spawn(self._read_staged_chunks, model, name)
 
-    def _find_here(self, model: str, name: str) -> None:
+    def _read_staged_chunks(self, model: str, name: str) -> None:
         found = 0
-        for index in self._copying.missing_chunks(name):
-            lying = self._engine.staged(model, index)
-            if isinstance(lying, Failure):
-                if not lying.failure().status:
+        for index in self._copies.missing_chunks(name):
+            staged = self._engine.staged(model, index)
+            if isinstance(staged, Failure):
+                if not staged.failure().status:
                     break
                 continue
-            data = lying.unwrap()
-            found += self._copying.add_local_chunk(
+            data = staged.unwrap()
+            found += self._copies.add_local_chunk(
                 name, index, data, self._now()
             )
-        self.inbox.put(FoundHere(name, found))
+        self.inbox.put(StagingAreaScanned(name, found))
 
 
 def _target(model: str, version: int) -> Target:
--- a/packages/burdockchute-agent/tests/test_staged.py
+++ b/packages/burdockchute-agent/tests/test_staged.py
@@ -21,20 +21,20 @@
 
 
 class FakeEngine:
-    """Keeps chunks; `spoil` changes one after so many calls."""
+    """Holds chunks; `corruptions` has calls at which a chunk is corrupted."""
 
     def __init__(self) -> None:
         self.chunks: dict[int, bytes] = {}
-        self.spoil: list[tuple[int, int]] = []
+        self.corruptions: list[tuple[int, int]] = []
         self.calls = 0
         self.orders = []
         self.loaded = b''
-        self.away = False
+        self.is_unreachable = False
         self.report_value = EngineReport({}, False, 4, 0, 0, 0, 0, 1.0)
 
     def staged(self, model, index):
         self._count()
-        if self.away:
+        if self.is_unreachable:
             return Failure(CallFailed(0, 'no answer'))
         if index not in self.chunks:
             return Failure(CallFailed(404, 'status 404'))
@@ -55,8 +55,8 @@
 
     def _count(self):
         self.calls += 1
-        if self.spoil and self.calls >= self.spoil[0][0]:
-            _at, index = self.spoil.pop(0)
+        if self.corruptions and self.calls >= self.corruptions[0][0]:
+            _at, index = self.corruptions.pop(0)
             self.chunks[index] = b'??'
 
 
@@ -74,31 +74,31 @@
             self.engine, self.copy, 'story', 2, lambda: self.now
         )
 
-    def test_whole_copy_is_staged_and_loaded(self):
+    def test_complete_copy_is_staged_and_loaded(self):
         ended = self.load()
         self.assertEqual(OrderEnd.BEGUN, ended.end)
         self.assertEqual(CONTENT, self.engine.loaded)
         self.assertEqual([4], [o.sequence for o in self.engine.orders])
 
-    def test_a_chunk_that_spoils_while_others_are_staged_is_replaced(self):
-        """A chunk turns bad in the staging area after it was put there.
+    def test_chunk_corrupted_while_others_are_staged_is_replaced(self):
+        """A chunk becomes corrupt in the staging area after it was staged.
 
-        The engine loads what lies there and its answers would look sound.
+        The engine loads it unchecked, and its answers would look valid.
         """
-        self.engine.spoil = [(8, 0)]
+        self.engine.corruptions = [(8, 0)]
         self.load()
         self.assertEqual(CONTENT, self.engine.loaded)
 
-    def test_chunks_that_go_on_spoiling_are_never_loaded(self):
-        self.engine.spoil = [(n, 1) for n in range(4, 60, 3)]
+    def test_chunks_that_keep_becoming_corrupt_are_never_loaded(self):
+        self.engine.corruptions = [(n, 1) for n in range(4, 60, 3)]
         ended = self.load()
         self.assertIsNone(ended.end)
         self.assertEqual([], self.engine.orders)
 
-    def test_a_check_that_took_too_long_is_made_again(self):
-        """The machine stood still between the check and the order.
+    def test_check_that_took_too_long_is_repeated(self):
+        """The machine was paused between the check and the order.
 
-        What was sound then may have spoilt meanwhile.
+        Chunks that were valid then may have become corrupt meanwhile.
         """
         stalls = iter([0.0, 0.0, 5.0])
 
@@ -109,19 +109,19 @@
         self.assertGreater(self.engine.calls, 12)
         self.assertEqual(1, len(self.engine.orders))
 
-    def test_an_engine_that_loads_already_gets_no_order(self):
+    def test_loading_engine_gets_no_order(self):
         self.engine.report_value = self.engine.report_value._replace(
             loading=True
         )
         self.assertIsNone(self.load().end)
 
-    def test_an_engine_that_does_not_answer_gets_no_order(self):
-        self.engine.away = True
+    def test_unreachable_engine_gets_no_order(self):
+        self.engine.is_unreachable = True
         self.assertIsNone(self.load().end)
 
 
 class FakeCopies:
-    """The copy of version 2, of which three chunks of four have come."""
+    """The copy of version 2, with three chunks of four."""
 
     def __init__(self) -> None:
         self.copy = Copy(manifests.build('story', CONTENT, 2))
@@ -132,7 +132,7 @@
         return self.copy if digest.endswith('@2') else None
 
 
-class AheadTest(unittest.TestCase):
+class ChunksToStageTest(unittest.TestCase):
     def setUp(self):
         self.copies = FakeCopies()
         self.rollout = Rollout('story')
@@ -143,21 +143,24 @@
             EngineLoadState(loaded, loading), self.copies
         )
 
-    def test_a_killed_agent_goes_on_with_its_copy(self):
-        """An agent is killed, or all lose power, with a copy nearly whole.
+    def test_killed_agent_resumes_its_copy(self):
+        """An agent is killed, or all lose power, with a nearly complete copy.
 
-        What was only in its memory is gone. It would copy all of it again,
-        and while no other engine has the weights every caller is refused.
+        The chunks in its memory are lost. Unless they are staged it copies
+        them all again, and while no other engine has the weights every caller
+        is refused.
         """
         engine = FakeEngine()
-        ahead = self.to_stage()
-        loading.stage_chunks(engine, ahead.copy, 'story', 2, ahead.chunks)
-        again = Copy(self.copies.copy.manifest)
+        to_stage = self.to_stage()
+        loading.stage_chunks(
+            engine, to_stage.copy, 'story', 2, to_stage.chunks
+        )
+        resumed = Copy(self.copies.copy.manifest)
         for index in range(4):
-            lying = engine.staged('story', index)
-            if isinstance(lying, Success):
-                again.add(index, lying.unwrap())
-        self.assertEqual(3, again.held_count)
+            staged = engine.staged('story', index)
+            if isinstance(staged, Success):
+                resumed.add(index, staged.unwrap())
+        self.assertEqual(3, resumed.held_count)
 
     def test_each_chunk_is_staged_once(self):
         self.assertEqual([0, 1, 2], self.to_stage().chunks)
@@ -168,57 +171,57 @@
         self.rollout.clear_staged()
         self.assertEqual([0, 1, 2], self.to_stage().chunks)
 
-    def test_nothing_is_staged_over_what_waits_to_be_loaded(self):
-        """Version 1 is whole and waits for its turn; version 2 comes in.
+    def test_nothing_is_staged_over_a_copy_that_waits_to_be_loaded(self):
+        """Version 1 is complete and waits to be loaded; version 2 arrives.
 
-        The engine loads what lies there when it takes the order. Chunks of
-        both versions would make answers that look sound and are worthless.
+        The engine loads what is staged when it acts on the order. A mix of
+        both versions would give answers that look valid but are worthless.
         """
         self.rollout.ready = 1
         self.assertIsNone(self.to_stage(loaded=None))
         self.assertIsNone(self.to_stage(loaded=1, loading=True))
-        self.rollout.busy = True
+        self.rollout.load_in_progress = True
         self.assertIsNone(self.to_stage(loaded=1))
-        self.rollout.busy = False
+        self.rollout.load_in_progress = False
         self.assertEqual(2, self.to_stage(loaded=1).version)
 
-    def test_an_engine_that_does_not_answer_is_asked_again(self):
+    def test_failed_staging_returns_its_reason(self):
         engine = FakeEngine()
         engine.stage = lambda model, index, data: Failure(
             CallFailed(0, 'no answer')
         )
-        ahead = self.to_stage()
+        to_stage = self.to_stage()
         staged = loading.stage_chunks(
-            engine, ahead.copy, 'story', 2, ahead.chunks
+            engine, to_stage.copy, 'story', 2, to_stage.chunks
         )
         self.assertEqual(([], 'no answer'), (staged.chunks, staged.reason))
 
 
 class ImportsTest(unittest.TestCase):
-    def test_each_chunk_is_brought_over_by_one_agent_of_a_region(self):
-        """Three agents of a region see a copy in another one.
+    def test_each_chunk_is_imported_by_one_agent_of_a_region(self):
+        """Three agents of a region find a copy in another region.
 
-        If each brought all of it over, the narrow link between the regions
+        If each of them copied all of it, the narrow link between the regions
         would carry it three times.
         """
         names = ('a', 'b', 'c')
-        everything = (1 << 48) - 1
+        all_chunks = (1 << 48) - 1
         shares = []
         for name in names:
             imports = RegionImports()
             imports.set_importers(name, names)
-            imports.note_remote_chunks(everything, 10.0)
-            shares.append(imports.importable(everything, 10.5))
-            self.assertEqual(shares[-1], imports.own_share(everything, 10.5))
-        self.assertEqual(everything, shares[0] | shares[1] | shares[2])
+            imports.note_remote_chunks(all_chunks, 10.0)
+            shares.append(imports.importable(all_chunks, 10.5))
+            self.assertEqual(shares[-1], imports.own_share(all_chunks, 10.5))
+        self.assertEqual(all_chunks, shares[0] | shares[1] | shares[2])
         self.assertEqual(48, sum(share.bit_count() for share in shares))
 
-    def test_others_step_in_for_one_that_is_gone(self):
+    def test_chunks_of_a_lost_importer_are_imported_by_others(self):
         imports = RegionImports()
         imports.set_importers('a', ('a', 'b', 'c'))
-        everything = (1 << 48) - 1
-        imports.note_remote_chunks(everything, 10.0)
-        self.assertEqual(everything, imports.importable(everything, 14.5))
+        all_chunks = (1 << 48) - 1
+        imports.note_remote_chunks(all_chunks, 10.0)
+        self.assertEqual(all_chunks, imports.importable(all_chunks, 14.5))
 
-    def test_without_a_region_everything_may_come_from_anywhere(self):
+    def test_without_a_region_chunks_may_come_from_anywhere(self):
         self.assertEqual(7, RegionImports().importable(7, 0.0))
