--- a/packages/burdockchute/burdockchute/decisions/claims.py
+++ b/packages/burdockchute/burdockchute/decisions/claims.py
@@ -248,7 +248,7 @@
 def _from_json(item: list[str]) -> Act:
     name, customer, key, attempt_id, request_digest, outcome = item
     if name not in ACTS or not all(isinstance(text, str) for text in item):
-        raise ValueError(f'{name!r} is not a known act')
+        raise ValueError(f'{name!r}: no such act')
     if outcome:
         decode_outcome(outcome)
     claim_key = ClaimKey(customer, key)
