--- a/packages/burdockchute/burdockchute/decisions/slow_links.py
+++ b/packages/burdockchute/burdockchute/decisions/slow_links.py
@@ -1,44 +1,48 @@
-"""Which engines get nothing new because the link to them has become slow.
+"""Detection of slow links, behind which engines get no new requests.
 
-Load: a link narrows while a copy comes in over it. Requests stand behind the
-chunks for seconds, callers leave meanwhile, and the engine works for nobody.
-What it sends is not held up: streams go on, and its reports show it as idle.
+The bandwidth of a link may drop while a copy comes in over it. Requests then
+queue behind the chunks for seconds, their callers leave meanwhile, and the
+engine computes answers that no caller waits for. Its own messages are not
+delayed: streams go on, and its load reports show it as idle.
 
-A request that has not begun after some time raises the question, and a probe
-of the link answers it; an engine that is only busy returns the probe at once.
+A request that has not started after some time makes the link suspect, and a
+probe of the link decides; if the engine is merely busy, the probe returns at
+once. A link is held while it is known to be slow: the engine behind it gets
+no new requests.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-# A request raises the question after this many times what is usual.
+# A link is suspect once a request waits for this multiple of the usual time.
 SUSPECT_RATIO = 2.0
-LEAST_SUSPECT_S = 0.2
+MIN_SUSPECT_S = 0.2
 
-# A probe passes a chunk or two on the thinnest link in less.
-SLOW_S = 0.3
+# On the slowest link a probe behind a chunk or two takes less.
+SLOW_PROBE_S = 0.3
 
-# Another entry's word is trusted for so long, and repeated twice in that time.
+# A report of another entry is valid for this time, and repeated twice in it.
 PEER_REPORT_VALID_S = 1.0
 REPORT_INTERVAL_S = 0.45
 
-# A probe that is still out after this says more of the agent than of its link.
+# After this time an unanswered probe is due to the agent, not to its link.
 MAX_HOLD_S = 3.0
 
-# Where more of the links are slow than this it is our own that is.
-OWN_FAULT_SHARE = 0.25
+# If more of the links seem slow, this entry's own connection is the cause.
+MAX_HELD_SHARE = 0.25
 
-# A new measurement counts this much in the usual time to begin.
+# Weight of a new measurement in the usual time to start.
 SMOOTHING = 0.05
 
 
 class LinkState(NamedTuple):
     """What is known of the link to one agent; times are monotonic seconds.
 
-    `probe_at` is when the probe was sent that is out, `slow_at` when our own
-    probe has last shown a slow link, `reported_slow_at` when that was last
-    reported to the other entries.
+    `probe_at` is when the outstanding probe was sent, `slow_at` when a probe
+    of this entry last showed a slow link, `reported_slow_at` when that was
+    last reported to the other entries, and `peer_reported_until` the end of
+    validity of another entry's report.
     """
 
     probe_at: float | None = None
@@ -47,31 +51,31 @@
     peer_reported_until: float = float('-inf')
 
 
-def usual_start_s(before: float, began_in_s: float) -> float:
-    """Give the usual time to begin after one more request has begun.
+def usual_start_s(before: float, started_in_s: float) -> float:
+    """Return the usual time to start after one more request has started.
 
     >>> usual_start_s(0.0, 0.2), round(usual_start_s(0.2, 0.4), 2)
     (0.2, 0.21)
     """
     if not before:
-        return began_in_s
-    return before + SMOOTHING * (began_in_s - before)
+        return started_in_s
+    return before + SMOOTHING * (started_in_s - before)
 
 
-def is_suspect(waits_s: float, usual_s: float) -> bool:
-    """Tell whether a request that waits to begin raises the question.
+def is_suspect(waited_s: float, usual_s: float) -> bool:
+    """Whether a request that waits to start makes its link suspect.
 
     >>> is_suspect(0.19, 0.05), is_suspect(0.3, 0.05), is_suspect(0.3, 0.4)
     (False, True, False)
     """
-    return waits_s > max(LEAST_SUSPECT_S, SUSPECT_RATIO * usual_s)
+    return waited_s > max(MIN_SUSPECT_S, SUSPECT_RATIO * usual_s)
 
 
 def checked(state: LinkState, reported_at: float, now: float) -> LinkState:
-    """Give the state as of now; `reported_at` is when the agent last told.
+    """Return the state as of now; the agent last reported at `reported_at`.
 
-    An agent that reports and does not return the probe stands behind a slow
-    link; one that does neither is paused, and its engine may well serve.
+    An agent that reports its load but does not return the probe is behind a
+    slow link; one that does neither is paused, and its engine may well serve.
 
     >>> state = LinkState(probe_at=5.0)
     >>> checked(state, 5.2, 5.4).slow_at, checked(state, 4.9, 5.4).slow_at
@@ -79,7 +83,7 @@
     """
     if state.slow_at is not None and now - state.slow_at > MAX_HOLD_S:
         return LinkState(peer_reported_until=state.peer_reported_until)
-    if state.probe_at is None or now - state.probe_at <= SLOW_S:
+    if state.probe_at is None or now - state.probe_at <= SLOW_PROBE_S:
         return state
     if state.slow_at is None and reported_at > state.probe_at:
         return state._replace(slow_at=now)
@@ -89,7 +93,7 @@
 
 
 def is_held(state: LinkState, now: float) -> bool:
-    """Tell whether an engine behind this link gets nothing new.
+    """Whether the engine behind this link gets no new requests.
 
     >>> is_held(LinkState(slow_at=5.0), 5.5), is_held(LinkState(), 5.5)
     (True, False)
@@ -100,7 +104,7 @@
 
 
 def should_probe(state: LinkState, suspect: bool) -> bool:
-    """Tell whether a probe is to be sent; one at a time is out.
+    """Whether to send a probe; at most one is outstanding at a time.
 
     >>> should_probe(LinkState(), True), should_probe(LinkState(), False)
     (True, False)
@@ -111,7 +115,7 @@
 
 
 def must_report(state: LinkState, now: float) -> bool:
-    """Tell whether the other entries are to hear of a slow link now.
+    """Whether to report a slow link to the other entries now.
 
     >>> state = LinkState(slow_at=5.0)
     >>> must_report(state, 5.0)
@@ -124,15 +128,15 @@
     if state.slow_at is None:
         return False
     if state.reported_slow_at is None:
-        # Whoever has told us goes on telling.
+        # The entry that reported it goes on doing so.
         return now >= state.peer_reported_until
     return now - state.reported_slow_at >= REPORT_INTERVAL_S
 
 
 def probe_returned(state: LinkState, sent_at: float, now: float) -> LinkState:
-    """Take in a probe that has come back.
+    """Return the state after a probe has returned.
 
-    One that took long leaves the link held until another one is back.
+    After a slow one the link is held until another probe returns in time.
 
     >>> probe_returned(LinkState(probe_at=5.0, slow_at=5.4), 5.0, 5.6).slow_at
     5.6
@@ -142,13 +146,13 @@
     """
     if state.probe_at != sent_at:
         return state
-    if now - sent_at > SLOW_S:
+    if now - sent_at > SLOW_PROBE_S:
         return state._replace(probe_at=None, slow_at=now)
     return LinkState()
 
 
 def peer_reported(state: LinkState, slow: bool, now: float) -> LinkState:
-    """Take in what another entry says of the link.
+    """Return the state after another entry has reported on the link.
 
     >>> peer_reported(LinkState(), True, 5.0).peer_reported_until
     6.0
@@ -159,9 +163,11 @@
 
 
 def may_hold(held: int, known: int) -> bool:
-    """Tell whether so many held links of those known are to be believed.
+    """Whether to hold `held` links out of `known`.
+
+    Where a large share of them seems slow, none is held.
 
     >>> may_hold(1, 3), may_hold(2, 8), may_hold(3, 8)
     (False, True, False)
     """
-    return held <= OWN_FAULT_SHARE * known
+    return held <= MAX_HELD_SHARE * known
