--- a/packages/burdockchute/burdockchute/decisions/sources.py
+++ b/packages/burdockchute/burdockchute/decisions/sources.py
@@ -1,20 +1,20 @@
-"""When to read the origin, how long to wait for a source, when to drop it.
-
-Load: the origin's link carries about four copies in the time in which every
-instance should have one, and for some users it is thin and paid for. If each
-agent that lacks a chunk read it there, the origin would carry hundreds of
-copies. If only one agent were to read each chunk, its death would stop all
-others. So the agents have an order for each chunk, the same everywhere; the
-first ones, as many as the row allows copies, read it at once unless a
-neighbour has it, and each later one only after a longer wait in which nothing
-new has turned up anywhere near.
-
-While new chunks still turn up, the first readers are at work, however slow
-the store is; that is why the wait counts from the last new chunk and grows
-with the usual gap between two. A store that refuses a reader tells it that
-the store is the trouble and not the readers before it, so its wait begins
-again; when the store comes back the first readers, who try again within
-MAX_BACKOFF_S, have a start over the rest and the origin is not overrun.
+"""When to read a chunk from the origin, and when to time out or avoid a peer.
+
+The origin's link carries about four copies in the time in which every
+instance should have one, and for some users it is slow and metered. If each
+agent that lacks a chunk read it there, the origin would send hundreds of
+copies. If only one agent read each chunk, its failure would block all
+others. So the agents have an order for each chunk, which is the same
+everywhere. The first ones, as many as the row allows copies, read the chunk
+at once unless a neighbour has it. Each later one reads it only after a
+longer wait in which no new chunk has appeared at any neighbour.
+
+While new chunks appear, the first readers are working, however slow the
+store is. Hence the wait counts from the last new chunk and grows with the
+usual interval between two. A store that refuses a reader shows that the
+store is the problem and not the preceding readers, so the wait starts again.
+When the store returns, the first readers, which retry within MAX_BACKOFF_S,
+are ahead of the others, and the origin is not overloaded.
 """
 
 from __future__ import annotations
@@ -25,58 +25,60 @@
 
 from burdockchute.decisions.hosting import ranked
 
-# So many agents share the reading of one set of weights. More would spread
-# it no better, and the order for each chunk costs one hash for each reader.
+# This many agents share the reads of one set of weights. More would not spread
+# the load better, and the order of a chunk costs one hash for each reader.
 READERS_PER_GROUP = 64
-# A thin origin that serves all its readers at once ends all their reads late,
-# and where it fails none has come. So few chunks are read at a time, in their
-# order; with fewer than this the origin idles until news of a chunk is there.
+# A slow origin that serves many reads at once completes all of them late, and
+# if it fails, none is complete. So few chunks are read at a time, in order;
+# with fewer than this the origin idles until a chunk is announced.
 CHUNKS_AT_ONCE = 12
-# A chunk that is read in its order is taken over from its reader after this
-# many times what a read takes.
+# A chunk that is read in order is taken over from its reader after this many
+# times the duration of a read.
 TAKEOVER_READS = 3.0
-# While no new chunk turns up, as many more may be read each time this passes.
+# For each such time without a new chunk, CHUNKS_AT_ONCE more may be read.
 STALLED_S = 0.6
-# If so many readers in a row are silent the whole group is taken for dead
-# and the next group begins.
+# If this many readers in a row yield no chunk, the complete group is taken for
+# dead and the next group starts.
 GROUP_STEPS = 6
 
-# A neighbour's news of what it holds takes a link's delay; a late joiner
-# that read at once would fetch from the origin what all others have.
+# A neighbour's announcement of its chunks takes the delay of a link; an agent
+# that joins late and read at once would fetch from the origin what all others
+# already have.
 GRACE_S = 0.5
-# Above the time for a chunk to go from its reader through a few neighbours.
+# Longer than a chunk takes from its reader through a few neighbours.
 MIN_WAIT_S = 1.0
 MAX_WAIT_S = 20.0
 STALL_INTERVALS = 4.0
 
-# Bytes between regions are dear and their links narrow, so each chunk comes
-# over once for all agents of a region. Those that are not first in its order
-# wait so long for each before them. With two agents in a region the first one
-# brings half of a copy over, which takes 2 s on the links in use.
+# Traffic between regions is expensive and its links are slow, so each chunk is
+# imported once for all agents of a region. Agents that are not first in its
+# order wait this long for each one before them. With two agents in a region
+# the first one imports half of a copy, which takes 2 s on the links in use.
 IMPORT_WAIT_S = 2.0
 
 MIN_BACKOFF_S = 0.25
 MAX_BACKOFF_S = 2.0
-# Where a version has to be in force within seconds, and few agents read the
-# origin for each region, its return is looked for more often.
+# Where a version has to be in force within seconds, and few agents of each
+# region read the origin, they retry more often.
 URGENT_BACKOFF_S = 0.5
 
-# A request to a peer is overdue after so many times the usual latency.
+# A request to a peer times out after this multiple of the usual latency.
 DEADLINE_FACTOR = 4.0
 SECOND_SOURCE_FACTOR = 2.0
 MIN_DEADLINE_S = 1.0
 MAX_DEADLINE_S = 15.0
 MIN_SECOND_SOURCE_S = 0.2
 
-# One flipped bit is bad luck; a peer that sends the second corrupt chunk has
-# bad memory or a bad link, and each further one costs the time of a chunk.
+# A single bit error may be accidental; a peer that sends a second corrupt
+# chunk has faulty memory or a faulty link, and each further one costs the time
+# of a chunk.
 CORRUPT_LIMIT = 2
 MIN_AVOID_S = 1.0
 MAX_AVOID_S = 30.0
 
 
 class ReaderGroup(NamedTuple):
-    """The order in which agents may read from the origin.
+    """The group of the own agent in the order of origin readers.
 
     `names` are the members of the own agent's group in their order and
     `group_index` is the position of the group among all groups. Members in
@@ -90,10 +92,10 @@
 
 
 class ChunkArrivals(NamedTuple):
-    """How new chunks turn up near here.
+    """How new chunks appear at the neighbours.
 
-    `last` is when the last one did, or when waiting began; `interval_s` is the
-    usual time between two, 0 while it is not known.
+    `last` is when the last one appeared, or when waiting started;
+    `interval_s` is the usual time between two, 0 while it is unknown.
     """
 
     last: float
@@ -101,7 +103,7 @@
 
 
 def reader_group(digest: str, own: str, hosts: Sequence[str]) -> ReaderGroup:
-    """Give the own agent's group of readers for a digest."""
+    """Return the own agent's group of readers for a digest."""
     order = ranked(digest, hosts)
     group_index = order.index(own) // READERS_PER_GROUP if own in order else 0
     start = group_index * READERS_PER_GROUP
@@ -111,9 +113,10 @@
 
 
 def reader_rank(known: ReaderGroup, chunk: int) -> int:
-    """Give how many of the own group come before the own agent.
+    """Return how many of its group come before the own agent.
 
-    Chunks are dealt out in turn, so that nobody has more to read than others.
+    The order rotates by one for each chunk, so that the reads are distributed
+    evenly.
 
     >>> group = ReaderGroup('b', ('a', 'b', 'c'), 0)
     >>> [reader_rank(group, chunk) for chunk in range(4)]
@@ -130,23 +133,23 @@
     return sum(1 for name in before if name not in known.unreachable)
 
 
-def chunks_at_once(progress: ChunkArrivals, now: float) -> int:
-    """Give how many unknown chunks may be read at a time, in their order.
+def chunks_at_once(arrivals: ChunkArrivals, now: float) -> int:
+    """Return how many unknown chunks may be read at a time, in order.
 
     >>> chunks_at_once(ChunkArrivals(5.0, 0.1), 5.2)
     12
     >>> chunks_at_once(ChunkArrivals(5.0, 0.1), 6.3)
     36
     """
-    stalled_s = max(0.0, now - progress.last)
+    stalled_s = max(0.0, now - arrivals.last)
     return CHUNKS_AT_ONCE * (1 + int(stalled_s / STALLED_S))
 
 
 def takeover_delay_s(rank: int, read_s: float) -> float:
-    """Give how long a chunk may be unread before this agent reads it.
+    """Return the seconds after which this agent reads an unread chunk.
 
-    `read_s` is what this agent's own reads take. Others take as long, so a
-    chunk that does not turn up has a reader that is gone.
+    `read_s` is the duration of this agent's own reads. The others' reads take
+    as long, so if a chunk does not appear, its reader is gone.
 
     >>> takeover_delay_s(0, 0.5), takeover_delay_s(2, 0.1)
     (0.0, 2.0)
@@ -157,93 +160,96 @@
 
 
 def readers_per_chunk(allowed: float, chunk: int) -> int:
-    """Give how many agents read a chunk at once, over 0.
+    """Return how many agents read a chunk at once, at least one.
 
-    A fraction allows one copy more of part of the chunks, evenly spread.
+    A fraction allows one more copy of some chunks, evenly distributed.
 
     >>> [readers_per_chunk(1.5, chunk) for chunk in range(4)]
     [1, 2, 1, 2]
     """
-    whole = max(1, int(allowed))
-    fraction = max(0.0, allowed - whole)
-    extra = int((chunk + 1) * fraction) - int(chunk * fraction)
-    return whole + extra
+    full_copies = max(1, int(allowed))
+    fraction = max(0.0, allowed - full_copies)
+    extra_copies = int((chunk + 1) * fraction) - int(chunk * fraction)
+    return full_copies + extra_copies
 
 
 def earliest_read_at(
     rank: int,
     group_index: int,
     copies: int,
-    began: float,
-    progress: ChunkArrivals,
+    started_at: float,
+    arrivals: ChunkArrivals,
 ) -> float:
-    """Give the time from which this agent may read a chunk.
+    """Return the time from which this agent may read a chunk.
 
-    It may do so only while no neighbour has the chunk.
+    It may read only while no neighbour has the chunk. `copies` is the number
+    of agents that read at once, `started_at` when the copy started.
     """
     if group_index == 0 and rank < copies:
-        return began + GRACE_S
+        return started_at + GRACE_S
     turn = 1 + rank - copies if group_index == 0 else rank
     waits = max(0, turn) + group_index * GROUP_STEPS + (group_index > 0)
-    return max(progress.last, began + GRACE_S) + waits * stall_wait_s(progress)
+    return max(arrivals.last, started_at + GRACE_S) + waits * stall_wait_s(
+        arrivals
+    )
 
 
 def may_import(rank: int, seen_at: float, now: float) -> bool:
-    """Tell whether a chunk may be brought from another region.
+    """Whether this agent may import a chunk from another region.
 
-    `rank` is how many agents of the own region come before, `seen_at` when
-    the chunk was first known to be held elsewhere.
+    `rank` is the number of agents of the own region that come before,
+    `seen_at` when the chunk was first known to be held in another region.
     """
     return now >= seen_at + rank * IMPORT_WAIT_S
 
 
-def stall_wait_s(progress: ChunkArrivals) -> float:
-    """Give how long a missing chunk may stay away before the next reads."""
+def stall_wait_s(arrivals: ChunkArrivals) -> float:
+    """Return the seconds without a new chunk before the next agent reads."""
     return min(
-        max(MIN_WAIT_S, STALL_INTERVALS * progress.interval_s), MAX_WAIT_S
+        max(MIN_WAIT_S, STALL_INTERVALS * arrivals.interval_s), MAX_WAIT_S
     )
 
 
-def on_new_chunk(progress: ChunkArrivals, now: float) -> ChunkArrivals:
-    """Note that a chunk unknown so far is held by somebody near."""
+def on_new_chunk(arrivals: ChunkArrivals, now: float) -> ChunkArrivals:
+    """Return the arrivals after a new chunk has appeared at a neighbour."""
     return ChunkArrivals(
-        now, moving_average(progress.interval_s, now - progress.last)
+        now, moving_average(arrivals.interval_s, now - arrivals.last)
     )
 
 
 def moving_average(average: float, sample: float) -> float:
-    """Give a moving average; the first sample counts whole."""
+    """Return an exponential moving average; the first sample sets it."""
     return sample if average <= 0 else average + 0.2 * (sample - average)
 
 
 def backoff_s(
-    failures: int, rng: random.Random, most_s: float = MAX_BACKOFF_S
+    failures: int, rng: random.Random, max_s: float = MAX_BACKOFF_S
 ) -> float:
-    """Give the wait after so many failed reads in a row, with jitter."""
-    longest = min(MIN_BACKOFF_S * 2 ** (failures - 1), most_s)
-    return longest * (0.5 + 0.5 * rng.random())
+    """Return the seconds to wait after failed reads in a row, with jitter."""
+    limit_s = min(MIN_BACKOFF_S * 2 ** (failures - 1), max_s)
+    return limit_s * (0.5 + 0.5 * rng.random())
 
 
 def deadline_s(latency: float) -> float:
-    """Give how long to wait for a chunk from a peer.
+    """Return the seconds after which a request for a chunk times out.
 
-    `latency` is the usual time from asking to having, 0 if not known.
+    `latency` is the usual time from request to chunk, 0 if unknown.
     """
     usual = latency or MIN_DEADLINE_S
     return min(max(DEADLINE_FACTOR * usual, MIN_DEADLINE_S), MAX_DEADLINE_S)
 
 
 def second_source_s(latency: float) -> float:
-    """Give when to ask a second peer once nothing else is left to ask."""
+    """Return the seconds after which a last chunk is asked of a second peer."""
     usual = latency or MIN_DEADLINE_S
     return max(SECOND_SOURCE_FACTOR * usual, MIN_SECOND_SOURCE_S)
 
 
 def avoid_s(strikes: int) -> float:
-    """Give how long to ask nothing of a peer that let deadlines pass."""
+    """Return the seconds for which to avoid a peer after timeouts."""
     return min(MIN_AVOID_S * 2 ** max(0, strikes - 1), MAX_AVOID_S)
 
 
 def is_banned(corrupt: int) -> bool:
-    """Tell whether a peer has sent too many corrupt chunks."""
+    """Whether a peer has sent too many corrupt chunks."""
     return corrupt >= CORRUPT_LIMIT
--- a/packages/burdockchute/tests/decisions/test_spreading.py
+++ b/packages/burdockchute/tests/decisions/test_spreading.py
@@ -1,4 +1,4 @@
-"""With whom chunks are exchanged, which go first and who reads the origin."""
+"""Tests of neighbours, chunk policies, origin readers, pacing and rates."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
 
 
 class NeighboursTest(unittest.TestCase):
-    def test_links_stay_few_and_join_everyone(self):
-        # 2,700 instances take the same row. Each must reach every other
-        # through a few links of its own, or parts of the fleet would have
-        # to read the origin.
+    def test_links_are_few_and_evenly_spread(self):
+        # 2,700 instances copy the same row. Each must reach every other one
+        # over a few links, or parts of the fleet would have to read the
+        # origin.
         members = fleet(2700, zones=14)
         links: dict[str, set[str]] = {m.name: set() for m in members}
         for member in members[:]:
@@ -49,7 +49,7 @@
         incoming = Counter(n for found in dialled.values() for n in found)
         self.assertLess(max(incoming.values()), 10)
 
-    def test_everyone_is_joined(self):
+    def test_all_instances_are_connected(self):
         members = fleet(200, zones=14)
         links: dict[str, set[str]] = {m.name: set() for m in members}
         for member in members:
@@ -73,14 +73,14 @@
         )
         self.assertEqual({0: 4, 1: 2, 2: 2}, found)
 
-    def test_lone_instance_of_a_zone_has_as_many_links(self):
+    def test_only_instance_of_a_zone_has_as_many_links(self):
         lone = Member('x', 'agent', '', 0, Place('far', 'away', 'p'))
         found = neighbours.neighbours('model/s', lone, [*fleet(40), lone])
         self.assertEqual(8, len(set(found)))
         few = neighbours.neighbours('model/s', lone, [*fleet(3), lone])
         self.assertEqual({'a0', 'a1', 'a2'}, set(few))
 
-    def test_one_that_goes_changes_one_place(self):
+    def test_removed_instance_changes_one_neighbour(self):
         members = fleet(100)
         own = members[0]
         before = neighbours.neighbours('model/s', own, members)
@@ -97,7 +97,7 @@
         rng = rng or random.Random(1)
         return chunks.CHUNK_POLICIES[name](self.OFFERS, self.HOLDERS, rng)
 
-    def test_every_choice_is_on_offer(self):
+    def test_every_policy_chooses_an_offered_chunk(self):
         useful = {offer.peer: offer.useful for offer in self.OFFERS}
         rng = random.Random(2)
         for name in chunks.CHUNK_POLICIES:
@@ -118,7 +118,7 @@
         drawn = Counter(self.choose('lottery', rng).peer for _ in range(500))
         self.assertAlmostEqual(0.6, drawn['p'] / 500, delta=0.07)
 
-    def test_near_offers_hide_far_ones(self):
+    def test_near_offers_go_before_far_ones(self):
         offers = [
             Offer('far', 0b11, 0, 2),
             Offer('near', 0b01, 9, 0),
@@ -140,12 +140,12 @@
             for name in self.NAMES
         }
 
-    def test_everyone_computes_the_same_order(self):
+    def test_all_agents_compute_the_same_order(self):
         for chunk in range(8):
             ranks = self.ranks(chunk)
             self.assertEqual(set(range(12)), set(ranks.values()))
 
-    def test_reading_is_spread(self):
+    def test_reads_are_evenly_distributed(self):
         first = Counter(
             min(self.ranks(chunk), key=self.ranks(chunk).get)
             for chunk in range(120)
@@ -154,7 +154,7 @@
         self.assertEqual(10, max(first.values()))
 
     def test_others_keep_their_turns_when_one_is_absent(self):
-        """Agents see different ones as gone; they read no chunk twice."""
+        """Agents see different ones as gone, but read no chunk twice."""
         known = sources.reader_group('d', 'a3', self.NAMES)
         others = {name for name in self.NAMES if name != 'a3'}
         for chunk in range(12):
@@ -173,35 +173,35 @@
         self.assertEqual({0: 64, 1: 64, 2: 64, 3: 8}, steps)
 
     def test_first_reader_reads_at_once_and_the_next_waits(self):
-        progress = ChunkArrivals(last=10.0, interval_s=0.0)
+        arrivals = ChunkArrivals(last=10.0, interval_s=0.0)
         times = [
-            sources.earliest_read_at(rank, 0, 1, 10.0, progress)
+            sources.earliest_read_at(rank, 0, 1, 10.0, arrivals)
             for rank in range(3)
         ]
         self.assertEqual([10.5, 11.5, 12.5], times)
 
     def test_more_copies_let_more_read_at_once(self):
-        progress = ChunkArrivals(last=10.0, interval_s=0.0)
+        arrivals = ChunkArrivals(last=10.0, interval_s=0.0)
         times = [
-            sources.earliest_read_at(rank, 0, 4, 10.0, progress)
+            sources.earliest_read_at(rank, 0, 4, 10.0, arrivals)
             for rank in range(5)
         ]
         self.assertEqual([10.5] * 4 + [11.5], times)
 
-    def test_second_group_reads_when_the_first_is_silent(self):
-        # Everyone who was to read the origin is killed. The others must
-        # not wait for 64 dead ones in turn.
-        progress = ChunkArrivals(last=10.0, interval_s=0.0)
-        after = sources.earliest_read_at(0, 1, 1, 10.0, progress)
+    def test_second_group_reads_when_the_first_yields_nothing(self):
+        # All readers of the first group are killed. The other agents must not
+        # wait for 64 dead readers in sequence.
+        arrivals = ChunkArrivals(last=10.0, interval_s=0.0)
+        after = sources.earliest_read_at(0, 1, 1, 10.0, arrivals)
         self.assertEqual(17.5, after)
 
-    def test_slow_store_moves_nobody_else_to_read(self):
-        # The store sends a chunk every two seconds. If the others took the
-        # readers for dead after a second, each would add to its load.
-        progress = ChunkArrivals(last=0.0, interval_s=0.0)
+    def test_slow_store_causes_no_reads_by_other_agents(self):
+        # The store sends a chunk every two seconds. If the other agents took
+        # the readers for dead after a second, each would add to its load.
+        arrivals = ChunkArrivals(last=0.0, interval_s=0.0)
         for now in (2.0, 4.0, 6.0):
-            progress = sources.on_new_chunk(progress, now)
-        due = sources.earliest_read_at(1, 0, 1, 0.0, progress)
+            arrivals = sources.on_new_chunk(arrivals, now)
+        due = sources.earliest_read_at(1, 0, 1, 0.0, arrivals)
         self.assertEqual(6.0 + sources.STALL_INTERVALS * 2.0, due)
 
     def test_fraction_of_a_copy(self):
@@ -221,7 +221,7 @@
 class PacingTest(unittest.TestCase):
     NAMES = tuple(f'a{number}' for number in range(10))
 
-    def test_lanes(self):
+    def test_each_replica_has_its_own_predecessor(self):
         before = {
             name: pacing.predecessor('model/s/d', name, self.NAMES, 0.2)
             for name in self.NAMES
@@ -230,14 +230,14 @@
         watched = [name for name in before.values() if name]
         self.assertEqual(len(watched), len(set(watched)))
 
-    def test_turn_comes_when_the_one_before_is_open_or_gone(self):
-        shut = Predecessor(is_open=False, gone=False)
+    def test_load_waits_until_the_predecessor_serves_or_is_gone(self):
+        not_open = Predecessor(is_open=False, gone=False)
         cases = [
-            (None, shut, 0.0, True),
-            ('a', shut, 5.0, False),
+            (None, not_open, 0.0, True),
+            ('a', not_open, 5.0, False),
             ('a', Predecessor(True, False), 5.0, True),
             ('a', Predecessor(False, True), 5.0, True),
-            ('a', shut, pacing.PREDECESSOR_TIMEOUT_S + 0.1, True),
+            ('a', not_open, pacing.PREDECESSOR_TIMEOUT_S + 0.1, True),
         ]
         for watched, known, now, wanted in cases:
             with self.subTest(watched=watched, known=known, now=now):
@@ -264,8 +264,8 @@
         self.assertEqual(1000.0 * copy_rates.BURST_S, bucket.level)
 
     def test_copies_yield_to_live_requests(self):
-        # Answers to callers take half of the link. A copy that kept its
-        # rate would make each token wait behind chunks.
+        # Answers to callers use half of the link. If a copy kept its rate,
+        # each token would queue behind chunks.
         meter = copy_rates.Meter(0.0, 0.0)
         for step in range(100):
             meter = copy_rates.measure(meter, 50.0, step * 0.1)
