--- a/packages/burdockchute/burdockchute/decisions/sources.py
+++ b/packages/burdockchute/burdockchute/decisions/sources.py
@@ -240,7 +240,7 @@
 
 
 def second_source_s(latency: float) -> float:
-    """Return the seconds after which a last chunk is asked of a second peer."""
+    """Return the seconds until a second peer is asked for a last chunk."""
     usual = latency or MIN_DEADLINE_S
     return max(SECOND_SOURCE_FACTOR * usual, MIN_SECOND_SOURCE_S)
 
