--- a/packages/burdockchute/burdockchute/decisions/subset.py
+++ b/packages/burdockchute/burdockchute/decisions/subset.py
@@ -1,27 +1,30 @@
-"""Which agents an entry keeps links to.
-
-Load: 360 entries before 12,000 agents. Links between all of them would be
-4.3 million connections; heartbeats and load reports alone would take more
-than a hundred times what a node may spend on control. Too few links are as
-bad: an agent without an entry serves nobody, and an entry without a host of
-a model has to refuse that model's callers.
-
-So each agent is given LOCAL entries of its own region, in as many zones as
-can be, and REMOTE of another; they are the first of a rendezvous order over
-the names, which every entry computes alike without asking. That gives every
-agent exactly so many links. On top of it an entry takes hosts of each model
-or service until it has MIN_HOSTS of it, first in its own region, since a
-small model's hosts would else be known to few entries only.
-
-Local and remote are ranked apart so that two regions which lose each other
-keep all links inside, and come back to the same links when they meet again.
-With up to ALL_AGENTS agents an entry links to all: at the sizes of today
-the fewest hops are worth more than the few links saved.
-
-Three local entries: with two, a rack that takes one of them leaves an agent
-on one entry, and that one may be stale. One remote: an agent whose region
-has lost the log still hears of edits from there. More would only add to the
-load reports, which are sent on every link each second.
+"""The subset of agents that an entry keeps links to.
+
+360 entries serve 12,000 agents. Links between all of them would be 4.3
+million connections, whose heartbeats and load reports alone would take more
+than a hundred times the bandwidth that a node may use for control messages.
+Too few links are as bad: an agent that no entry links to serves no requests,
+and an entry without a host of a model has to refuse that model's requests.
+
+So each agent is assigned LOCAL_ENTRIES entries of its own region, in as many
+zones as possible, and REMOTE_ENTRIES of another region. They are the first of
+a rendezvous hash order of the names, which every entry computes alike without
+coordination, so that every agent has exactly this name_hash of links. In
+addition an entry links to hosts of each model or service until it has
+MIN_HOSTS of them, first those in its own region, since the hosts of a small
+model would otherwise be known to few entries only.
+
+Local and remote entries are ranked separately, so that two regions that lose
+contact keep all their internal links, and return to the same links once they
+are connected again. With up to FULL_MESH_AGENTS agents an entry links to all
+of them: at today's sizes the fewest hops are worth more than the few links
+saved.
+
+Three local entries: with two, the loss of a rack with one of them would leave
+an agent with a single entry, and that one may be stale. One remote entry: an
+agent whose region has lost the log still receives edits from there. More
+entries would only add to the load reports, which are sent on every link each
+second.
 """
 
 from __future__ import annotations
@@ -50,16 +53,16 @@
 FULL_MESH_AGENTS = 128
 
 _MASK = 2**64 - 1
-_ODD = 0x9E3779B97F4A7C15
+_ODD_MULTIPLIER = 0x9E3779B97F4A7C15
 
 
 class Subset:
-    """The choice of one entry, kept up as members come and go.
+    """The agents that one entry links to, updated as the members change.
 
-    Ranking every agent takes about a second for 12,000, in which no request
-    would be served. `set_members` therefore only notes what has to be ranked
-    anew, and `step` does a part of it; until an agent's turn comes its old
-    rank holds.
+    Ranking 12,000 agents takes about a second, in which no request would be
+    served. Therefore `set_members` only marks the agents to rank again, and
+    each call of `step` ranks some of them; until an agent is ranked again its
+    old result stays in force.
     """
 
     def __init__(self, own: str) -> None:
@@ -68,10 +71,10 @@
         self._agents: dict[str, Place] = {}
         self._zones: dict[str, dict[str, list[tuple[int, str]]]] = {}
         self._pending: dict[str, None] = {}
-        self._mine: set[str] = set()
+        self._assigned: set[str] = set()
 
     def set_members(self, members: Iterable[Member]) -> None:
-        """Take the members; those that leave are not counted."""
+        """Set the members; leaving ones are not considered."""
         entries: dict[str, Place] = {}
         agents: dict[str, Place] = {}
         for member in members:
@@ -79,9 +82,11 @@
                 chosen = entries if member.role == 'entry' else agents
                 chosen[member.name] = member.place
         changed = (
-            agents if entries != self._entries else _new(agents, self._agents)
+            agents
+            if entries != self._entries
+            else _new_or_moved(agents, self._agents)
         )
-        self._mine.intersection_update(agents)
+        self._assigned.intersection_update(agents)
         self._entries = entries
         self._agents = agents
         self._zones = _by_region_and_zone(entries)
@@ -91,20 +96,20 @@
         self._pending.update(dict.fromkeys(changed))
 
     def step(self, count: int) -> bool:
-        """Rank up to `count` agents; True when none is left."""
+        """Rank up to `count` agents; return whether none is left to rank."""
         for name in list(self._pending)[:count]:
             del self._pending[name]
             place = self._agents[name]
-            if self._own in entries_of(name, place, self._zones):
-                self._mine.add(name)
+            if self._own in entries_for(name, place, self._zones):
+                self._assigned.add(name)
             else:
-                self._mine.discard(name)
+                self._assigned.discard(name)
         return not self._pending
 
     def wanted(
         self, table: Table, pause: Callable[[], None] = lambda: None
     ) -> set[str]:
-        """Give the names of the agents to keep links to.
+        """Return the names of the agents to keep links to.
 
         `pause` is called between rows, each of which takes milliseconds on
         the largest site.
@@ -113,7 +118,7 @@
             return set(self._agents)
         own = self._entries.get(self._own)
         region = own.region if own else ''
-        chosen = set(self._mine)
+        chosen = set(self._assigned)
         by_place = _by_place(self._agents)
         rows: list[ModelRow | ServiceRow] = [
             *models(table).values(),
@@ -130,37 +135,37 @@
     def _nearest(
         self, hosts: list[str], region: str, count: int, chosen: set[str]
     ) -> set[str]:
-        own = number(self._own)
+        own = name_hash(self._own)
         order = heapq.nsmallest(
             count,
             (name for name in hosts if name not in chosen),
             key=lambda name: (
                 self._agents[name].region != region,
-                mixed(own ^ number(name)),
+                mix_bits(own ^ name_hash(name)),
             ),
         )
         return set(order)
 
 
-def entries_of(
+def entries_for(
     name: str,
     place: Place,
     zones: Mapping[str, Mapping[str, Sequence[tuple[int, str]]]],
 ) -> list[str]:
-    """Give the entries that link to an agent.
+    """Return the names of the entries that link to an agent.
 
-    `zones` has the entries as (number, name) by region and zone.
+    `zones` has the entries as (hash of the name, name) by region and zone.
     """
-    agent = number(name)
+    agent = name_hash(name)
     local: list[tuple[bool, int, str]] = []
     remote: list[tuple[int, str]] = []
     for region, by_zone in zones.items():
         for entries in by_zone.values():
-            scored = [(mixed(agent ^ n), entry) for n, entry in entries]
+            scored = [(mix_bits(agent ^ n), entry) for n, entry in entries]
             if region != place.region:
                 remote.append(min(scored))
                 continue
-            # The first of each zone goes before the second of any.
+            # The first entry of each zone goes before the second of any.
             for rank, (score, entry) in enumerate(
                 heapq.nsmallest(LOCAL_ENTRIES, scored)
             ):
@@ -171,18 +176,20 @@
 
 
 @functools.lru_cache(maxsize=32768)
-def number(name: str) -> int:
-    """Give 64 bits that stand for a name."""
+def name_hash(name: str) -> int:
+    """Return a 64-bit hash of a name."""
     return int.from_bytes(blake3.blake3(name.encode()).digest(8))
 
 
-def mixed(value: int) -> int:
-    """Give 64 bits in which every bit of the value counts."""
-    value = (value * _ODD) & _MASK
-    return ((value ^ (value >> 32)) * _ODD) & _MASK
+def mix_bits(value: int) -> int:
+    """Return 64 bits, each of which depends on every bit of the value."""
+    value = (value * _ODD_MULTIPLIER) & _MASK
+    return ((value ^ (value >> 32)) * _ODD_MULTIPLIER) & _MASK
 
 
-def _new(agents: Mapping[str, Place], known: Mapping[str, Place]) -> list[str]:
+def _new_or_moved(
+    agents: Mapping[str, Place], known: Mapping[str, Place]
+) -> list[str]:
     return [name for name, place in agents.items() if known.get(name) != place]
 
 
@@ -192,7 +199,7 @@
     zones: dict[str, dict[str, list[tuple[int, str]]]] = {}
     for name, place in entries.items():
         by_zone = zones.setdefault(place.region, {})
-        by_zone.setdefault(place.zone, []).append((number(name), name))
+        by_zone.setdefault(place.zone, []).append((name_hash(name), name))
     return zones
 
 
@@ -206,7 +213,7 @@
 def _hosts(
     row: ModelRow | ServiceRow, by_place: Mapping[Place, list[str]]
 ) -> list[str]:
-    # As hosting.hosts, but a placement is matched once for each place.
+    # Same as hosting.hosts, but matches a placement once for each place.
     if 'instance:' in row.placement:
         names = [
             name
--- a/packages/burdockchute/tests/decisions/test_subset.py
+++ b/packages/burdockchute/tests/decisions/test_subset.py
@@ -1,4 +1,4 @@
-"""Which agents an entry keeps links to."""
+"""Tests of the choice of agents that an entry links to."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def links(members: list[Member], table: Table = EMPTY) -> dict[str, set]:
-    """Give the agents that each entry wants."""
+    """Return the agents that each entry links to."""
     found = {}
     for member in members:
         if member.role == 'entry':
@@ -53,8 +53,8 @@
         self.assertLess(max(map(len, found.values())), 1.5 * mean)
 
     def test_links_of_an_agent_are_in_several_zones(self):
-        # A zone goes; an agent whose entries all stood there would serve
-        # nobody until the list has told the others.
+        # A zone fails. An agent whose entries were all in that zone would get
+        # no requests until the list has informed other entries.
         for agents in (40, 420):
             zones = collections.defaultdict(set)
             for entry, wanted in links(fleets.fleet(28, agents)).items():
@@ -76,13 +76,13 @@
                         subset.MIN_HOSTS, len(of_row & wanted)
                     )
 
-    def test_one_agent_that_goes_moves_no_other(self):
+    def test_removed_agent_changes_no_other_links(self):
         before = links(self.members)
         after = links([m for m in self.members if m.name != 'agent-7'])
         for entry, wanted in before.items():
             self.assertEqual(wanted - {'agent-7'}, after[entry])
 
-    def test_one_entry_that_goes_moves_only_its_agents(self):
+    def test_removed_entry_changes_only_links_of_its_agents(self):
         before = links(self.members)
         gone = before.pop('entry-5')
         after = links([m for m in self.members if m.name != 'entry-5'])
@@ -90,10 +90,10 @@
             self.assertLessEqual(wanted, after[entry])
             self.assertLessEqual(after[entry] - wanted, gone)
 
-    def test_regions_that_part_keep_their_links_and_meet_again(self):
-        # Each side only sees its own instances for an hour. Were all links
-        # chosen anew, every entry would dial hundreds of agents at once,
-        # and again when the regions meet.
+    def test_regions_that_lose_contact_keep_their_links(self):
+        # Each region sees only its own instances for an hour. If all links
+        # were chosen again, every entry would dial hundreds of agents at
+        # once, and again when the regions are connected again.
         before = links(self.members)
         side = [m for m in self.members if m.place.region in ('region-0',)]
         apart = links(side)
@@ -106,7 +106,7 @@
             self.assertLessEqual(kept, wanted)
         self.assertEqual(before, links(self.members))
 
-    def test_a_zone_that_goes_leaves_every_agent_with_links(self):
+    def test_loss_of_a_zone_leaves_every_agent_with_links(self):
         left = [m for m in self.members if m.place.zone != 'zone-2']
         counts = counts_of(links(left))
         self.assertEqual(
@@ -118,7 +118,7 @@
         found = links(fleets.fleet(3, 20))
         self.assertEqual([20] * 3, [len(agents) for agents in found.values()])
 
-    def test_leavers_are_not_chosen(self):
+    def test_leaving_members_are_not_chosen(self):
         members = [
             m._replace(leaving=m.name in ('agent-3', 'entry-3'))
             for m in self.members
@@ -128,7 +128,7 @@
         counts = counts_of({e: a for e, a in found.items() if e != 'entry-3'})
         self.assertEqual({4}, set(counts.values()))
 
-    def test_old_rank_holds_until_the_new_one_is_known(self):
+    def test_old_choice_stays_until_agents_are_ranked_again(self):
         choice = subset.Subset('entry-0')
         choice.set_members(self.members)
         while not choice.step(100):
