--- a/packages/burdockchute/burdockchute/decisions/suspects.py
+++ b/packages/burdockchute/burdockchute/decisions/suspects.py
@@ -1,29 +1,29 @@
-"""Suspects: requests that crash whatever runs them.
-
-Load it answers: one request that brings down each upstream it reaches, and
-whose caller sends it again.
-
-Without it, a retry carries the crash from instance to instance until none is
-left, and everybody who shared an instance with it loses an answer.
-
-How it decides: when an upstream goes away, each request in flight there is a
-suspect. A suspect that may be run again runs alone on an instance, so that
-a second crash hits nobody else and tells who did it. With its second crash
-a request is refused everywhere; an answer clears it. A crash that it shared
-is weaker evidence: where a suspect was again not alone, since two entries
-knew nothing of each other's, only the third crash convicts. A link that
-closes is no crash: networks fail far more often than upstreams.
-
-Thresholds: CRASHES is two, since one crash has as many suspects as the
+"""Suspects: requests that may crash the upstream that runs them.
+
+One request may crash each upstream that it reaches while its caller sends it
+again. Without a limit its retries would crash instance after instance until
+none is left, and all requests that share an instance with it would lose their
+answers.
+
+When an upstream crashes, each request in flight there becomes a suspect. A
+suspect that may be retried runs alone on an instance, so that a second crash
+affects no other request and identifies the cause. After its second crash a
+request is convicted, that is, refused everywhere; an answer clears it. A
+shared crash is weaker evidence: where a suspect was again not alone, because
+two entries did not know of each other's suspects, only the third crash
+convicts it. A closed link is not a crash: networks fail far more often than
+upstreams.
+
+CRASHES_TO_CONVICT is two, since the first crash has as many suspects as the
 instance had requests, and each further crash costs a reload of weights.
-REFUSE_S outlasts the resends of a person or a job with backoff, and lets an
-upgraded engine take the request later the same hour. MEMORY_S is how long
-one crash is remembered; crashes that lie further apart than this hardly
-have the same cause. Ends that come within ONE_CRASH_S of each other from
-one upstream are of one crash: it takes longer than that to start again.
-One request is refused once it has crashed OUTAGE_UPSTREAMS; where more than
-that go away within OUTAGE_S, something else brings them down, and whoever
-was retried meanwhile is not to blame.
+REFUSE_S is longer than a person or a job with backoff keeps resending, and
+lets an upgraded engine take the request later in the same hour. A crash is
+remembered for RECORD_TTL_S; crashes further apart than that hardly have the
+same cause. Requests that one upstream loses within ONE_CRASH_S belong to one
+crash: the upstream takes longer than that to restart. A request is convicted
+once it has crashed OUTAGE_UPSTREAMS; if more upstreams than that crash within
+OUTAGE_S, there is another cause, and a request that was retried meanwhile is
+not to blame.
 """
 
 from __future__ import annotations
@@ -32,8 +32,8 @@
 
 from burdockchute.model.crashes import CrashLearned
 
-CRASHES = 2
-SHARED_CRASHES = 3
+CRASHES_TO_CONVICT = 2
+SHARED_CRASHES_TO_CONVICT = 3
 ONE_CRASH_S = 1.0
 OUTAGE_S = 10.0
 OUTAGE_UPSTREAMS = 2
@@ -42,7 +42,10 @@
 
 
 class CrashRecord(NamedTuple):
-    """Crashes that a request was part of."""
+    """The crashes in which a request was in flight.
+
+    `upstream` is the upstream of the last crash.
+    """
 
     crashes: int
     last_at: float
@@ -51,7 +54,7 @@
 
 
 class Suspects:
-    """Fingerprints of requests that were in flight in a crash."""
+    """The suspects, by the fingerprint of the request."""
 
     def __init__(self) -> None:
         self._records: dict[str, CrashRecord] = {}
@@ -63,13 +66,13 @@
     def crashed(
         self, fingerprint: str, upstream: str, alone: bool, now: float
     ) -> bool:
-        """Count a crash with a request in flight; tells if it convicts.
+        """Count a crash of a request in flight; return whether it convicts.
 
-        Copies of one request that were in flight together are part of one
-        crash: a health check that is sent every second would otherwise be
-        convicted by the first.
+        Copies of one request that were in flight together count as one crash:
+        a health check that is sent every second would otherwise be convicted
+        by its first crash.
         """
-        self._forget(now)
+        self._drop_old_records(now)
         old = self._records.get(fingerprint, CrashRecord(0, now, 0.0, ''))
         if old.upstream == upstream and now - old.last_at < ONE_CRASH_S:
             return False
@@ -78,21 +81,23 @@
             crashes, now, old.refused_until, upstream
         )
         self._crashed_at[upstream] = now
-        if crashes < (CRASHES if alone else SHARED_CRASHES):
+        if crashes < (
+            CRASHES_TO_CONVICT if alone else SHARED_CRASHES_TO_CONVICT
+        ):
             return False
         if self._is_outage(now):
             return False
         self.refuse(fingerprint, REFUSE_S, now)
         return True
 
-    def peer_reported(self, learned: CrashLearned, now: float) -> None:
-        """Count a crash that another entry saw.
+    def peer_reported(self, report: CrashLearned, now: float) -> None:
+        """Count a crash that another entry reported.
 
-        An upstream that loses answers breaks off many requests, and common
-        ones again and again; all entries together would soon convict these.
-        So one that another entry lost at the same upstream counts once.
+        An upstream that loses answers aborts many requests, and frequent ones
+        repeatedly; the reports of all entries would soon convict these. So
+        a request that other entries lose at the same upstream counts once.
         """
-        seen, at = learned.seen, now - learned.age_s
+        seen, at = report.seen, now - report.age_s
         known = self._records.get(seen.fingerprint)
         if known is None or known.upstream != seen.upstream:
             self.crashed(seen.fingerprint, seen.upstream, seen.alone, at)
@@ -100,25 +105,25 @@
             self.refuse(seen.fingerprint, REFUSE_S, at)
 
     def answered(self, fingerprint: str) -> None:
-        """Clear a request that an upstream has survived."""
+        """Clear a request that an upstream has answered."""
         self._records.pop(fingerprint, None)
 
     def refuse(self, fingerprint: str, for_s: float, now: float) -> None:
-        """Refuse a request for a while, as another entry found."""
+        """Refuse a request for `for_s` seconds from `now`."""
         record = self._records.get(
-            fingerprint, CrashRecord(CRASHES, now, 0.0, '')
+            fingerprint, CrashRecord(CRASHES_TO_CONVICT, now, 0.0, '')
         )
         self._records[fingerprint] = record._replace(
             last_at=now, refused_until=max(record.refused_until, now + for_s)
         )
 
     def refused_for_s(self, fingerprint: str, now: float) -> float:
-        """Give the seconds for which a request is still refused, or 0."""
+        """Return the seconds for which a request is still refused, or 0."""
         record = self._records.get(fingerprint)
         return max(0.0, record.refused_until - now) if record else 0.0
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """Tell whether a request has to run alone."""
+        """Whether a request has to run alone."""
         return fingerprint in self._records
 
     def _is_outage(self, now: float) -> bool:
@@ -129,7 +134,7 @@
         }
         return len(self._crashed_at) > OUTAGE_UPSTREAMS
 
-    def _forget(self, now: float) -> None:
+    def _drop_old_records(self, now: float) -> None:
         self._records = {
             fingerprint: record
             for fingerprint, record in self._records.items()
--- a/packages/burdockchute/tests/decisions/test_suspects.py
+++ b/packages/burdockchute/tests/decisions/test_suspects.py
@@ -1,4 +1,4 @@
-"""Requests that crash whatever runs them."""
+"""Tests of the suspects of crashes."""
 
 from __future__ import annotations
 
@@ -25,23 +25,23 @@
         )
 
     def test_copies_in_one_crash_count_once(self):
-        # A health check is sent every second and three of them are in
-        # flight when something else brings the upstream down.
+        # A health check is sent every second, and three of them are in flight
+        # when the upstream crashes for another reason.
         for _ in range(3):
             self.assertFalse(self.suspects.crashed('p', 'a', False, 0.0))
         self.assertEqual(0.0, self.suspects.refused_for_s('p', 0.0))
 
-    def test_bystander_of_two_crashes_is_not_convicted(self):
-        # Two entries re-run suspects of one crash on the same instance,
-        # since neither knows of the other's.
+    def test_uninvolved_request_in_two_crashes_is_not_convicted(self):
+        # Two entries retry suspects of one crash on the same instance, since
+        # neither knows of the other's.
         self.suspects.crashed('p', 'a', False, 0.0)
         self.assertFalse(self.suspects.crashed('p', 'b', False, 5.0))
         self.assertTrue(self.suspects.crashed('p', 'c', False, 20.0))
 
-    def test_outage_convicts_nobody(self):
-        # A power cut takes all upstreams. A request that was in flight is
-        # run again alone and meets it a second time; refused for ten
-        # minutes it would miss its deadline through no fault of its own.
+    def test_outage_convicts_no_request(self):
+        # A power cut stops all upstreams. A request that was in flight is
+        # retried alone and is affected a second time; refused for ten minutes
+        # it would miss its deadline without having caused a crash.
         for upstream in 'abc':
             self.suspects.crashed(f'in flight at {upstream}', upstream, 0, 0.0)
         self.suspects.crashed('p', 'a', False, 0.0)
@@ -59,11 +59,11 @@
         self.assertFalse(self.suspects.crashed('p', 'b', True, later))
         self.assertEqual(1, len(self.suspects))
 
-    def test_an_upstream_that_loses_answers_convicts_no_common_request(self):
-        """A server breaks off one answer in thirty, of all entries.
+    def test_upstream_that_loses_answers_convicts_no_frequent_request(self):
+        """A server aborts one answer in thirty, to all entries.
 
-        Counted together, the same look-up that many callers make would soon
-        be refused to all of them for ten minutes.
+        If all reports counted, a look-up that many callers make would soon be
+        refused to all of them for ten minutes.
         """
         for second in range(9):
             seen = CrashSeen('p', 'a', True, False)
@@ -73,6 +73,6 @@
         self.suspects.peer_reported(CrashLearned(seen, 0.0), 20.0)
         self.assertGreater(self.suspects.refused_for_s('p', 20.0), 0.0)
 
-    def test_other_entry_tells_whom_to_refuse(self):
+    def test_conviction_of_another_entry_is_applied(self):
         self.suspects.refuse('p', 60.0, 0.0)
         self.assertEqual(50.0, self.suspects.refused_for_s('p', 10.0))
