--- a/packages/burdockchute/burdockchute/decisions/switching.py
+++ b/packages/burdockchute/burdockchute/decisions/switching.py
@@ -1,14 +1,14 @@
-"""What to do next for one row's weights on one upstream.
+"""The next step in switching one row's weights on one upstream.
 
-Load: versions change while requests are in flight, several times in quick
-succession, and orders fail, come late or are lost. Driven by events alone an
-agent would sooner or later miss one and keep a gate open over weights that
-are gone, or wait for ever. So this looks only at what is the case now and
-gives the one next step; the agent asks again after each change.
+Versions change while requests are in flight, several times in quick
+succession, and orders fail, arrive late or are lost. An agent driven by
+events alone would at some time miss one and keep a gate open for weights that
+are gone, or wait for ever. So the next step is derived from the current state
+only, and the agent evaluates it again after each change.
 
-The order of the rules keeps the invariant: a gate is open only over weights
+The order of the rules keeps the invariant: a gate is open only for weights
 that the upstream reports, and weights are unloaded only when their gate is
-shut and empty.
+closed and no request is inside.
 """
 
 from __future__ import annotations
@@ -16,40 +16,40 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-# An order must take effect within this time. It bounds how long a gate stays
-# shut after a doubt where the upstream does not check fencing numbers, so it
-# is short; for large weights it grows with the time that an engine needs to
-# fetch them from the agent beside it.
+# An order has no effect after this time. Where the upstream does not check
+# fencing numbers, this bounds how long a gate stays closed while its state is
+# in doubt, so it is short; for large weights it grows with the time that an
+# engine needs to fetch them from its agent.
 ORDER_DEADLINE_S = 5.0
 FETCH_BYTES_PER_S = 500e6
-# Beyond the deadline: the way of an order and that of a report.
+# Added to the deadline for the transmission of an order and of a report.
 SETTLE_MARGIN_S = 1.0
 
 
 def order_deadline_s(size: int) -> float:
-    """Give how long an order to load so many bytes is good for."""
+    """Return the seconds in which an order to load `size` bytes is valid."""
     return ORDER_DEADLINE_S + size / FETCH_BYTES_PER_S
 
 
 def settle_s(size: int) -> float:
-    """Give how long a report must stay the same to be relied on.
+    """Return the seconds after which an unchanged report is reliable.
 
-    An order given before we began to look has by then either shown in the
-    reported state or can't take effect any more.
+    An order that was given before the report was first seen has by then
+    either changed the reported state or can't take effect any more.
     """
     return order_deadline_s(size) + SETTLE_MARGIN_S
 
 
 class RowState(NamedTuple):
-    """What is the case for one row.
-
-    `wanted` is the digest that the row names, empty once the row is gone.
-    `complete` tells whether its copy is complete, `loaded` and `loading` what
-    the upstream reports, `is_open` which gates are open, `in_flight` how
-    many requests are inside each. `may_load` is the pacing's word, `settled`
-    whether the report can be relied on, `base_loaded` whether an adapter's
-    base model is loaded (true for a model). `fits_two_versions` is whether
-    the upstream has room for two versions.
+    """The current state of one row's weights.
+
+    `wanted` is the digest that the row names, empty once the row is deleted.
+    `complete` is whether its copy is complete, `loaded` and `loading` are
+    reported by the upstream, `is_open` has the open gates and `in_flight` the
+    number of requests inside each. `may_load` is the result of the pacing,
+    `settled` whether the report is reliable, `base_loaded` whether an
+    adapter's base model is loaded (true for a model), `fits_two_versions`
+    whether the upstream has room for two versions.
     """
 
     wanted: str
@@ -65,13 +65,13 @@
 
 
 class OpenGate(NamedTuple):
-    """Let requests for a digest in."""
+    """Admit requests for a digest."""
 
     digest: str
 
 
 class CloseGate(NamedTuple):
-    """Let no more requests for a digest in."""
+    """Admit no more requests for a digest."""
 
     digest: str
 
@@ -89,7 +89,7 @@
 
 
 class Wait(NamedTuple):
-    """Nothing to do until something changes."""
+    """Do nothing until the state changes."""
 
     reason: str
 
@@ -97,51 +97,51 @@
 Step = OpenGate | CloseGate | Load | Unload | Wait
 
 
-def next_step(now: RowState) -> Step:
-    """Give the next step."""
-    for digest in sorted(now.is_open - now.loaded):
+def next_step(state: RowState) -> Step:
+    """Return the next step."""
+    for digest in sorted(state.is_open - state.loaded):
         return CloseGate(digest)
-    if not now.wanted:
-        return _clear(now, now.loaded | now.is_open)
-    if now.wanted in now.loaded:
-        return _serve(now)
-    return _replace(now)
+    if not state.wanted:
+        return _unload(state, state.loaded | state.is_open)
+    if state.wanted in state.loaded:
+        return _open_wanted(state)
+    return _load_wanted(state)
 
 
-def _serve(now: RowState) -> Step:
-    if now.wanted not in now.is_open:
-        if not now.settled:
+def _open_wanted(state: RowState) -> Step:
+    if state.wanted not in state.is_open:
+        if not state.settled:
             return Wait('reported state is not settled')
-        if not now.base_loaded:
+        if not state.base_loaded:
             return Wait('base model is not loaded')
-        return OpenGate(now.wanted)
-    return _clear(now, now.loaded - {now.wanted})
+        return OpenGate(state.wanted)
+    return _unload(state, state.loaded - {state.wanted})
 
 
-def _replace(now: RowState) -> Step:
-    unused = now.loaded - now.is_open
+def _load_wanted(state: RowState) -> Step:
+    unused = state.loaded - state.is_open
     if unused:
-        # Left over from a version that was named for a short while only.
-        step = _clear(now, unused)
+        # Left over from a version that was wanted for a short time only.
+        step = _unload(state, unused)
         if isinstance(step, Unload):
             return step
-    if not now.complete:
+    if not state.complete:
         return Wait('copying')
-    if now.loading:
+    if state.loading:
         return Wait('loading')
-    if not now.base_loaded:
+    if not state.base_loaded:
         return Wait('base model is not loaded')
-    if not now.may_load:
+    if not state.may_load:
         return Wait('others load first')
-    if now.loaded and not now.fits_two_versions:
-        return _clear(now, now.loaded)
-    return Load(now.wanted)
+    if state.loaded and not state.fits_two_versions:
+        return _unload(state, state.loaded)
+    return Load(state.wanted)
 
 
-def _clear(now: RowState, digests: frozenset[str]) -> Step:
-    for digest in sorted(digests & now.is_open):
+def _unload(state: RowState, digests: frozenset[str]) -> Step:
+    for digest in sorted(digests & state.is_open):
         return CloseGate(digest)
     for digest in sorted(digests):
-        if not now.in_flight.get(digest, 0):
+        if not state.in_flight.get(digest, 0):
             return Unload(digest)
     return Wait('requests in flight' if digests else 'nothing to do')
--- a/packages/burdockchute/tests/decisions/test_switching.py
+++ b/packages/burdockchute/tests/decisions/test_switching.py
@@ -1,4 +1,4 @@
-"""What to do next for one row's weights, and what must hold meanwhile."""
+"""Tests of the steps of a switch and of their invariants."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
             CloseGate('old'), next_step(situation(loaded=both, is_open=both))
         )
 
-    def test_old_version_goes_first_without_room(self):
+    def test_old_version_is_unloaded_first_without_room(self):
         old = frozenset({'old'})
         given = situation(loaded=old, is_open=old, fits_two_versions=False)
         self.assertEqual(CloseGate('old'), next_step(given))
@@ -67,15 +67,15 @@
         )
         self.assertEqual(Wait('others load first'), next_step(given))
 
-    def test_gate_shuts_when_the_weights_are_gone(self):
-        # The engine restarts or obeys somebody else, and reports other
-        # weights than those whose gate is open.
+    def test_gate_closes_when_the_weights_are_gone(self):
+        # The engine restarts or follows the orders of another process, and
+        # reports other weights than those whose gate is open.
         given = situation(
             loaded=frozenset({'other'}), is_open=frozenset({'new'})
         )
         self.assertEqual(CloseGate('new'), next_step(given))
 
-    def test_unsettled_report_opens_nothing(self):
+    def test_unsettled_report_opens_no_gate(self):
         given = situation(loaded=frozenset({'new'}), settled=False)
         self.assertEqual(
             Wait('reported state is not settled'), next_step(given)
@@ -85,7 +85,7 @@
         given = situation(base_loaded=False)
         self.assertEqual(Wait('base model is not loaded'), next_step(given))
 
-    def test_removed_row_is_cleared(self):
+    def test_weights_of_a_deleted_row_are_unloaded(self):
         new = frozenset({'new'})
         given = situation(wanted='', complete=False, loaded=new, is_open=new)
         self.assertEqual(CloseGate('new'), next_step(given))
@@ -97,7 +97,7 @@
 
 
 class SwitchMachine(stateful.RuleBasedStateMachine):
-    """Versions change at any moment while loads end late or fail."""
+    """Versions change at any time while loads complete late or fail."""
 
     def __init__(self) -> None:
         super().__init__()
