--- a/packages/burdockchute/burdockchute/decisions/versions.py
+++ b/packages/burdockchute/burdockchute/decisions/versions.py
@@ -1,48 +1,50 @@
-"""Which versions of a model's weights a request may still begin on.
-
-Operators name a version, and from then on the instances load it one after
-the other, while those that still hold the one before serve on. Without an
-end to that, an instance whose copy hangs would give out pages of old weights
-for ever. So a version that was replaced may begin requests for the time that
-the machine's bounds give, less MARGIN_S, and none after it: a request that
-is sent at the last moment may wait in its engine before it begins.
-
-A process that starts can't tell how long ago a version was named; it lets
-older ones begin nothing. While engines still load a version, an entry that
-restarts would refuse all callers for seconds in which the others serve on.
-So agents tell each entry that links to them when they learnt of versions, and
-the earliest time that anyone tells of counts. Until somebody has told, older
-versions begin nothing.
-
-Versions never go back within a process, whoever tells of a lower one.
+"""On which versions of a model's weights a request may still start.
+
+Operators name a version, and then the instances load it one after the other,
+while instances with the previous version still serve. Without a limit, an
+instance whose copy hangs would serve pages from old weights for ever. So
+requests may start on a replaced version for the time that the machine's
+bounds set, less MARGIN_S, and not after it: a request that is sent at the
+last moment may wait in its engine before it starts.
+
+A process that starts can't know how long ago a version was named, so it
+starts no requests on older ones. With this rule alone, while engines still
+load a version, an entry that restarts would refuse all callers for seconds
+in which other entries serve them. So agents report to each entry that links
+to them when they received the versions, and the earliest reported time is
+used. Until a report arrives, no request starts on an older version.
+
+The newest version of a process never decreases, even if another process
+reports a lower one.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-# What a request that was just sent may wait in its engine before its first
-# token. Of 2,170 of a calm day 99 in 100 began within 0.9 s, and an engine
-# that loads meanwhile takes nothing new.
+# How long a request that was just sent may wait in its engine before its first
+# token. Of 2,170 requests on a day without faults 99% started within 0.9 s,
+# and an engine that loads meanwhile takes no new ones.
 MARGIN_S = 1.0
 
-# A request that has not begun this long before the limit is stopped, which
-# takes the way to its engine and up to a quarter of a second to be noticed.
+# A request that has not started this long before the limit is cancelled. The
+# cancellation has to reach its engine, and is noticed after up to a quarter of
+# a second.
 CANCEL_LEAD_S = 0.5
 
-# A link that is squeezed gets slower while what was sent before stands in it.
+# A saturated link becomes slower while earlier data is still queued on it.
 START_SLACK = 1.5
 
-# So many versions may replace each other before the first one's time is up.
+# Number of versions that may replace each other within the time of the first.
 MAX_NAMED = 16
 
 FIRST_VERSION = 1
 
 
 class NamedVersion(NamedTuple):
-    """A version and when this process learnt of it, in monotonic seconds.
+    """A version and when this process received it, in monotonic seconds.
 
-    `at` is None where it was named before this process could learn of it.
+    `at` is None if it was named before this process could receive it.
     """
 
     version: int
@@ -50,18 +52,18 @@
 
 
 class History(NamedTuple):
-    """The versions of one model that were named, newest first."""
+    """The named versions of one model, newest first."""
 
     named: tuple[NamedVersion, ...] = ()
 
     @property
     def newest(self) -> int:
-        """The version that all instances should have."""
+        """The version that all instances should load."""
         return self.named[0].version if self.named else FIRST_VERSION
 
 
 def add_version(history: History, version: int, at: float | None) -> History:
-    """Give the history after a version was named."""
+    """Return the history after a version was named."""
     if history.named and version <= history.newest:
         return history
     kept = (NamedVersion(version, at), *history.named)
@@ -69,7 +71,7 @@
 
 
 def add_report(history: History, version: int, at: float) -> History:
-    """Give the history after another process told when it learnt of one.
+    """Return the history after another process reported when it got one.
 
     >>> add_report(add_version(History(), 3, None), 3, 8.0).named
     (NamedVersion(version=3, at=8.0),)
@@ -87,7 +89,7 @@
 
 
 def least_allowed(history: History, limit_s: float, now: float) -> int:
-    """Give the lowest version on which a request may begin now.
+    """Return the lowest version on which a request may start now.
 
     >>> history = add_version(add_version(History(), 1, None), 2, 10.0)
     >>> [least_allowed(history, 8.0, now) for now in (12.0, 16.0, 17.0)]
@@ -102,9 +104,10 @@
 def start_deadline(
     history: History, version: int, limit_s: float
 ) -> float | None:
-    """Give when a request must have begun on a version, None for any time.
+    """Return by when a request must start on a version, None for no limit.
 
-    A little before the limit, as its stop has to reach the engine.
+    This is CANCEL_LEAD_S before the limit, as a cancellation has to reach the
+    engine.
 
     >>> history = add_version(add_version(History(), 1, None), 2, 10.0)
     >>> start_deadline(history, 1, 8.0)
@@ -116,11 +119,11 @@
 
 
 def starts_in_time(deadline: float, starts_in_s: float, now: float) -> bool:
-    """Tell whether a request that is sent now begins before its version ends.
+    """Whether a request that is sent now starts before its version ends.
 
-    `starts_in_s` is what requests take on that engine lately. Behind a link
-    that is squeezed it is over a second, and what is sent in the last moments
-    would begin on weights of the past.
+    `starts_in_s` is the recent time to start on that engine. Behind a
+    saturated link it is over a second, and requests that are sent in the last
+    moments would start on outdated weights.
 
     >>> starts_in_time(17.5, 0.3, 16.0), starts_in_time(17.5, 1.2, 16.0)
     (True, False)
@@ -129,10 +132,10 @@
 
 
 def must_cancel(deadline: float | None, sent_at: float, now: float) -> bool:
-    """Tell whether a request that has not begun is to be stopped.
+    """Whether to cancel a request that has not started.
 
-    Its stop takes the way that it took, so one that has been under way for
-    long is stopped by as much earlier.
+    Its cancellation takes as long to arrive as the request, so a request that
+    has been under way for long is cancelled earlier by that time.
 
     >>> must_cancel(17.5, 17.0, 17.4), must_cancel(17.5, 15.5, 16.9)
     (False, True)
@@ -143,7 +146,7 @@
 
 
 def named_at(history: History, version: int) -> float | None:
-    """Give when a version was named, None where that isn't known."""
+    """Return when a version was named, None if unknown."""
     for named in history.named:
         if named.version == version:
             return named.at
