--- a/packages/burdockchute-agent/tests/test_cache_news.py
+++ b/packages/burdockchute-agent/tests/test_cache_news.py
@@ -9,7 +9,7 @@
 from burdockchute_agent.cache_changes import PendingCacheChanges
 
 
-class CacheNewsTest(unittest.TestCase):
+class CacheChangesTest(unittest.TestCase):
     def test_changes_are_reported_once_and_newest_first(self):
         changes = PendingCacheChanges()
         changes.stored('a')
--- a/packages/burdockchute-agent/tests/test_copying.py
+++ b/packages/burdockchute-agent/tests/test_copying.py
@@ -1,4 +1,4 @@
-"""In which order copies read the origin and ask peers."""
+"""The order in which copies read the origin and request chunks of peers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def copier(digest, known=0):
-    """Give a copy of eight chunks, of which a peer holds some."""
+    """Return a copier of eight chunks; a peer holds the first `known`."""
     made = Copier(
         digest, 1.0, chunks.rarest_from_least_loaded, random.Random(1), 0.0
     )
@@ -28,37 +28,44 @@
     return made
 
 
-class ReadingTest(unittest.TestCase):
+class CopiesReadingOriginTest(unittest.TestCase):
     def test_one_copy_reads_the_origin_at_a_time(self):
-        """Two that share it are both without their last chunks for longer."""
+        """Two that share it would both lack their last chunks for longer."""
         first, second = copier('a'), copier('b')
         self.assertEqual([first], copies_reading_origin([first, second]))
 
-    def test_one_that_is_half_out_goes_first(self):
-        """The origin may fail before it has given out a newer one."""
+    def test_a_copy_of_which_half_is_known_goes_first(self):
+        """The origin may fail before a newer copy has been read from it."""
         newest, older = copier('b'), copier('a', known=5)
         self.assertEqual([older], copies_reading_origin([newest, older]))
 
-    def test_the_next_one_follows_when_each_chunk_is_out(self):
-        out, second = copier('a', known=8), copier('b')
-        self.assertEqual([out, second], copies_reading_origin([out, second]))
+    def test_the_next_copy_follows_when_each_chunk_is_known(self):
+        known, second = copier('a', known=8), copier('b')
+        self.assertEqual(
+            [known, second], copies_reading_origin([known, second])
+        )
 
-    def test_a_copy_whose_reads_fail_holds_up_no_other(self):
-        """Its chunks are corrupt at the origin, or it gives them no more."""
+    def test_a_copy_whose_reads_fail_blocks_no_other(self):
+        """Its chunks may be corrupt at the origin, or no longer there."""
         broken, second = copier('a', known=5), copier('b')
         broken.schedule.read_failed(1.0)
         self.assertEqual(
             [broken, second], copies_reading_origin([broken, second])
         )
 
-    def test_a_copy_without_a_manifest_is_read_for(self):
-        fresh = Copier('a', 1.0, chunks.uniform, random.Random(1), 0.0)
-        self.assertEqual([fresh], copies_reading_origin([fresh, copier('b')]))
+    def test_a_copy_without_a_manifest_may_read_the_origin(self):
+        without_manifest = Copier(
+            'a', 1.0, chunks.uniform, random.Random(1), 0.0
+        )
+        self.assertEqual(
+            [without_manifest],
+            copies_reading_origin([without_manifest, copier('b')]),
+        )
 
 
-class AskingTest(unittest.TestCase):
-    def test_a_later_copy_asks_once_peers_hold_no_more_of_the_first(self):
-        """Uplinks of the fleet are what copies wait for."""
+class CopiesRequestingChunksTest(unittest.TestCase):
+    def test_a_later_copy_waits_while_peers_hold_chunks_of_the_first(self):
+        """Copies are limited by the peers' uplinks, which both would use."""
         first, second = copier('a', known=3), copier('b', known=3)
         self.assertEqual(
             [first], copies_requesting_chunks([first, second], 0.0)
@@ -68,7 +75,7 @@
             [first, second], copies_requesting_chunks([first, second], 0.0)
         )
 
-    def test_peers_that_do_not_send_hold_up_no_other_copy(self):
+    def test_peers_that_do_not_send_block_no_other_copy(self):
         first, second = copier('a', known=3), copier('b', known=3)
         first.request_refused('p', 0, sources.MIN_AVOID_S, 0.0)
         self.assertEqual(
--- a/packages/burdockchute-agent/tests/test_weights_parts.py
+++ b/packages/burdockchute-agent/tests/test_weights_parts.py
@@ -28,14 +28,14 @@
 from burdockchute_agent.upload_queue import UploadQueue
 
 CONTENT = bytes(range(40))
-MANIFEST_OF = manifests.build('story', CONTENT, 10)
+MANIFEST = manifests.build('story', CONTENT, 10)
 STORY = Weights('model', 'story', 'd')
 
 
 def have(held: int, **fields) -> messages.Have:
     values = {'uploads': 0, 'wants': True, 'loading': 0, 'open': False}
     return messages.Have(
-        MANIFEST_OF.digest, bytes([held]), **{**values, **fields}
+        MANIFEST.digest, bytes([held]), **{**values, **fields}
     )
 
 
@@ -54,7 +54,7 @@
 class CopierTest(unittest.TestCase):
     def setUp(self) -> None:
         self.copier = Copier(
-            MANIFEST_OF.digest,
+            MANIFEST.digest,
             1.0,
             chunks.rarest_from_least_loaded,
             random.Random(1),
@@ -64,8 +64,8 @@
             sources.reader_group('d', 'own', ['own', 'other'])
         )
 
-    def begin(self) -> None:
-        self.copier.manifest_received(MANIFEST_OF, 0.0)
+    def start(self) -> None:
+        self.copier.manifest_received(MANIFEST, 0.0)
 
     def plan(self, now: float) -> set:
         reads = self.copier.plan_reads(now, unlimited)
@@ -77,28 +77,28 @@
         self.assertEqual(set(), self.plan(0.1))
 
     def test_two_requests_for_each_peer(self):
-        self.begin()
+        self.start()
         for name in ('p', 'q'):
             self.copier.have_received(name, 0, have(0b1111), 0.0)
-        asked = self.plan(0.0)
-        self.assertEqual({0, 1, 2, 3}, {ask.chunk for ask in asked})
+        actions = self.plan(0.0)
+        self.assertEqual({0, 1, 2, 3}, {action.chunk for action in actions})
         self.assertEqual(
-            ['p', 'p', 'q', 'q'], sorted(ask.peer for ask in asked)
+            ['p', 'p', 'q', 'q'], sorted(action.peer for action in actions)
         )
 
-    def test_peer_that_lets_a_deadline_pass_is_left_alone(self):
-        self.begin()
+    def test_peer_that_misses_a_deadline_is_avoided(self):
+        self.start()
         self.copier.have_received('p', 0, have(0b0001), 0.0)
         self.assertEqual({RequestChunk('p', 0)}, self.plan(0.0) - reads())
         late = sources.deadline_s(0.0) + 0.1
         self.copier.have_received('q', 2, have(0b0001), late)
         self.assertIn(RequestChunk('q', 0), self.plan(late))
 
-    def test_last_chunk_is_asked_for_twice(self):
-        # All but one chunk are there and the peer that has the last one
-        # has gone slow. Waiting for its deadline would hold up the whole
-        # version for one chunk.
-        self.begin()
+    def test_last_chunk_is_requested_twice(self):
+        # All chunks but one are held, and the peer with the last one has
+        # become slow. To wait for its deadline would delay the whole version
+        # for one chunk.
+        self.start()
         for index in (0, 1, 2):
             self.copier.origin_chunk_received(index, chunk(index), 0.0)
         self.copier.have_received('p', 0, have(0b1000), 0.0)
@@ -110,34 +110,34 @@
         self.assertTrue(self.copier.chunk_received('q', 3, chunk(3), later))
         self.assertTrue(self.copier.complete)
 
-    def test_what_a_neighbour_has_is_not_brought_from_another_region(self):
-        """An instance joins where its neighbours hold the weights already.
+    def test_what_a_neighbour_has_is_not_imported_from_another_region(self):
+        """An instance joins a region whose agents hold some of the chunks.
 
-        Its share of what is to be brought over is nothing then; fetched
-        from another region it would use the narrow link for nothing.
+        Its share of the imports must leave these out: fetched from another
+        region they would use the narrow link for nothing.
         """
-        self.begin()
+        self.start()
         self.copier.max_reads = 0
         self.copier.imports.set_importers('own', ['own'])
         self.copier.have_received('far', 2, have(0b1111), 0.0)
         self.copier.have_received('near', 0, have(0b0011), 0.0)
-        asked = self.plan(0.0)
+        actions = self.plan(0.0)
         self.assertEqual(
             {('far', 2), ('far', 3), ('near', 0), ('near', 1)},
-            {(ask.peer, ask.chunk) for ask in asked - reads()},
+            {(action.peer, action.chunk) for action in actions - reads()},
         )
 
-    def test_chunks_of_a_peer_that_died_are_asked_for_elsewhere(self):
-        self.begin()
+    def test_chunks_of_a_disconnected_peer_are_requested_elsewhere(self):
+        self.start()
         self.copier.have_received('p', 0, have(0b0011), 0.0)
         self.plan(0.0)
         self.copier.have_received('q', 0, have(0b0011), 0.0)
         self.copier.peer_disconnected('p')
-        asked = self.plan(0.0) - reads()
-        self.assertEqual({RequestChunk('q', 0), RequestChunk('q', 1)}, asked)
+        actions = self.plan(0.0) - reads()
+        self.assertEqual({RequestChunk('q', 0), RequestChunk('q', 1)}, actions)
 
-    def test_origin_is_read_once_for_what_nobody_has(self):
-        self.begin()
+    def test_origin_is_read_once_for_chunks_that_no_peer_has(self):
+        self.start()
         self.copier.have_received('p', 0, have(0b0011), 0.0)
         found: set[int] = set()
         now = 0.0
@@ -152,15 +152,15 @@
         self.assertEqual({2, 3}, found)
 
     def test_store_that_comes_back_is_left_to_its_first_readers(self):
-        # The store was away for so long that everyone's turn has come. If
-        # all read at once when it is back it would have to carry a copy
-        # for each of them.
+        # The store was away for so long that every agent may read. If all of
+        # them read at once when it is back, it would have to send a copy to
+        # each.
         hosts = [f'a{number}' for number in range(30)]
         readers = sources.reader_group('d', 'a7', hosts)
         ranks = {sources.reader_rank(readers, index) for index in range(4)}
         self.assertNotIn(0, ranks)
         self.copier.schedule.set_readers(readers)
-        self.begin()
+        self.start()
         now = 100.0
         for action in self.plan(now):
             self.copier.origin_read_failed(action.chunk, now)
@@ -169,25 +169,25 @@
         self.assertNotEqual(set(), self.plan(back + 100.0))
 
     def test_few_unknown_chunks_are_read_at_a_time(self):
-        """All readers of a thin origin at once would end together, late."""
+        """If all read a slow origin at once, all chunks would be late."""
         self.copier.reads_in_order = True
         self.copier.max_reads = 4
-        self.begin()
+        self.start()
         with mock.patch.object(sources, 'CHUNKS_AT_ONCE', 2):
             now = sources.GRACE_S
             self.copier.schedule.chunks_found(1, now)
             readers = sources.reader_group('d', 'own', ['own'])
             self.copier.schedule.set_readers(readers)
             self.assertEqual({ReadOrigin(0), ReadOrigin(1)}, self.plan(now))
-            # A peer has told that it holds one of them.
+            # A peer has reported that it holds one of them.
             self.copier.have_received('p', 0, have(0b0010), now)
             self.assertIn(ReadOrigin(2), self.plan(now))
 
-    def test_more_are_read_where_none_turns_up(self):
+    def test_more_chunks_are_read_if_none_turns_up(self):
         """A reader may be dead, or the origin slow."""
         self.copier.reads_in_order = True
         self.copier.max_reads = 4
-        self.begin()
+        self.start()
         with mock.patch.object(sources, 'CHUNKS_AT_ONCE', 1):
             readers = sources.reader_group('d', 'own', ['own'])
             self.copier.schedule.set_readers(readers)
@@ -198,23 +198,27 @@
             self.assertEqual({ReadOrigin(1)}, self.plan(now))
 
     def test_a_second_copy_for_a_region_waits_for_the_first(self):
-        """Chunks that nobody has are lost if the origin fails."""
+        """Chunks that no agent holds are lost if the origin fails."""
         self.copier.reads_in_order = True
         self.copier.max_reads = 4
         self.copier.imports.set_importers('own', ('own',))
-        self.begin()
+        self.start()
         now = sources.GRACE_S
         readers = sources.reader_group('d', 'other', ['own', 'other'])
         self.copier.schedule.set_readers(readers._replace(own='own'))
-        far = (1 << len(MANIFEST_OF.chunks)) - 1
+        far = (1 << len(MANIFEST.chunks)) - 1
         self.copier.have_received('far', OTHER_REGION, have(far & ~1), now)
-        unknown = {a.chunk for a in self.plan(now) if is_read(a)}
+        unknown = {
+            action.chunk for action in self.plan(now) if is_read(action)
+        }
         self.assertLessEqual(unknown, {0})
         self.copier.have_received('far', OTHER_REGION, have(far), now)
-        asked = self.plan(now + 0.01)
-        self.assertTrue(any(is_read(a) and a.chunk != 0 for a in asked))
+        actions = self.plan(now + 0.01)
+        self.assertTrue(
+            any(is_read(action) and action.chunk != 0 for action in actions)
+        )
 
-    def test_failed_reads_wait_before_the_next(self):
+    def test_next_read_waits_after_a_failed_one(self):
         self.copier.set_expected_peers(set())
         now = sources.GRACE_S + 4.0
         self.assertEqual({ReadOrigin(MANIFEST_INDEX)}, self.plan(now))
@@ -222,10 +226,10 @@
         self.assertEqual(set(), self.plan(now + 0.1))
 
 
-class UploadsTest(unittest.TestCase):
+class UploadQueueTest(unittest.TestCase):
     def test_peers_are_served_in_turn(self):
-        # One peer asks for many chunks at once. Another one's single
-        # request must not wait for all of them.
+        # One peer requests many chunks at once. The single request of
+        # another peer must not wait for all of them.
         uploads = UploadQueue()
         for index in range(4):
             uploads.add(Upload('greedy', 'd', index))
@@ -235,10 +239,10 @@
 
     def test_queue_is_bounded(self):
         uploads = UploadQueue()
-        taken = [uploads.add(Upload('p', 'd', n)) for n in range(20)]
-        self.assertEqual(8, sum(taken))
+        accepted = [uploads.add(Upload('p', 'd', n)) for n in range(20)]
+        self.assertEqual(8, sum(accepted))
 
-    def test_given_up_weights_leave_the_queue(self):
+    def test_uploads_of_a_removed_digest_leave_the_queue(self):
         uploads = UploadQueue()
         uploads.add(Upload('p', 'd', 1))
         uploads.add(Upload('p', 'e', 2))
@@ -263,15 +267,15 @@
     ) -> bool:
         return tracker.is_settled(STORY, 7, checks, self.SETTLE_S)
 
-    def test_engine_that_checks_our_number_is_believed_at_once(self):
+    def test_engine_that_checks_fencing_numbers_is_trusted_at_once(self):
         tracker = EngineStateTracker(0.0)
         tracker.update(1.0, self.state('d'))
         self.assertTrue(self.settled(tracker))
         self.assertFalse(self.settled(tracker, checks=False))
 
-    def test_engine_that_ignores_numbers_is_watched_first(self):
-        # An agent that was paused and replaced gives its last order when it
-        # goes on. An engine that ignores numbers obeys.
+    def test_engine_that_ignores_fencing_numbers_is_watched_first(self):
+        # An agent that was paused and replaced sends its last order when it
+        # resumes. An engine that ignores fencing numbers obeys it.
         tracker = EngineStateTracker(0.0)
         tracker.update(1.0, self.state('d', checks=False))
         self.assertFalse(self.settled(tracker))
@@ -280,14 +284,14 @@
         )
         self.assertTrue(self.settled(tracker))
 
-    def test_change_starts_the_watch_again(self):
+    def test_change_restarts_the_watch(self):
         tracker = EngineStateTracker(0.0)
         tracker.update(1.0, self.state('d', checks=False))
         tracker.update(6.0, self.state('d', 'e', checks=False))
         tracker.update(8.0, self.state('d', checks=False))
         self.assertFalse(self.settled(tracker))
 
-    def test_old_number_in_the_engine_is_not_ours(self):
+    def test_engine_with_an_older_fencing_number_is_not_settled(self):
         tracker = EngineStateTracker(0.0)
         tracker.update(1.0, self.state('d', fence=3))
         self.assertFalse(self.settled(tracker))
@@ -304,7 +308,7 @@
         tracker.update(1.5 + self.SETTLE_S + 0.1, self.state('d'))
         self.assertTrue(self.settled(tracker))
 
-    def test_engine_that_answers_no_more_has_nothing_loaded(self):
+    def test_engine_that_stops_answering_has_nothing_loaded(self):
         tracker = EngineStateTracker(0.0)
         tracker.update(1.0, self.state('d'))
         tracker.update(2.0, EngineError('refused'))
@@ -324,7 +328,7 @@
             frozenset(loaded), frozenset(), asked, asked
         )
 
-    def test_report_older_than_the_reply_tells_nothing(self):
+    def test_report_older_than_the_reply_is_ignored(self):
         self.switch.order_sent(self.order)
         self.assertFalse(self.observe(9.0, 'd'))
         self.switch.order_ended('order-1', 1.0)
@@ -335,7 +339,7 @@
 
     def test_lost_reply_of_an_order_that_took_effect(self):
         # The engine obeys and its reply is lost. A second order would make
-        # it load the same weights again; what it reports decides.
+        # it load the same weights again, so its report decides.
         self.switch.order_sent(self.order)
         self.switch.order_ended(EngineError('timed out'), 1.0)
         self.assertFalse(self.observe(1.1, 'd'))
@@ -348,17 +352,17 @@
         self.assertFalse(self.switch.may_order(2.5))
         self.assertTrue(self.switch.may_order(3.1))
 
-    def test_no_room_beside_the_old_version(self):
+    def test_no_memory_for_a_second_version(self):
         self.switch.order_sent(self.order)
         self.switch.order_ended(EngineError('full', 507), 1.0)
         self.assertFalse(self.switch.fits_two_versions)
 
 
 class BandwidthTest(unittest.TestCase):
-    def test_refused_requests_give_their_bytes_back(self):
-        # A peer that is asked too much refuses. The bytes that were set
-        # aside for its chunk must go to the next request, or the link is
-        # idle for as long as the chunk would have taken.
+    def test_refused_requests_release_their_bytes(self):
+        # A peer with too many requests refuses some. The bytes reserved for
+        # the chunk must go to the next request, or the link is idle for the
+        # time that the chunk would have taken.
         bandwidth = Bandwidth(1000.0, 1000.0, 0.0)
         bandwidth.refill(1.0)
         self.assertTrue(bandwidth.reserve_downlink(500))
@@ -366,7 +370,7 @@
         bandwidth.release_downlink(500)
         self.assertTrue(bandwidth.reserve_downlink(1))
 
-    def test_copies_stand_back_for_live_requests(self):
+    def test_live_requests_have_priority_over_copies(self):
         bandwidth = Bandwidth(1000.0, 1000.0, 0.0)
         quiet = bandwidth.send_rate
         for step in range(50):
