--- a/packages/burdockchute/burdockchute/decisions/listing.py
+++ b/packages/burdockchute/burdockchute/decisions/listing.py
@@ -124,8 +124,8 @@
     if old is None or entry.position < old.position:
         return listed
     if now < listed.expires_until:
-        lapsed = old._replace(position=entry.position, expired_at=now)
-        return listed._replace(known={**listed.known, entry.id: lapsed})
+        expired = old._replace(position=entry.position, expired_at=now)
+        return listed._replace(known={**listed.known, entry.id: expired})
     return _without(listed, entry.id, entry.position)
 
 
--- a/packages/burdockchute/burdockchute/decisions/sources.py
+++ b/packages/burdockchute/burdockchute/decisions/sources.py
@@ -82,7 +82,7 @@
 
     `names` are the members of the own agent's group in their order and
     `group_index` is the position of the group among all groups. Members in
-    `unreachable` are skipped; the others keep their turns.
+    `unreachable` are skipped; the others keep their positions.
     """
 
     own: str
@@ -187,8 +187,8 @@
     """
     if group_index == 0 and rank < copies:
         return started_at + GRACE_S
-    turn = 1 + rank - copies if group_index == 0 else rank
-    waits = max(0, turn) + group_index * GROUP_STEPS + (group_index > 0)
+    position = 1 + rank - copies if group_index == 0 else rank
+    waits = max(0, position) + group_index * GROUP_STEPS + (group_index > 0)
     return max(arrivals.last, started_at + GRACE_S) + waits * stall_wait_s(
         arrivals
     )
--- a/packages/burdockchute/burdockchute/decisions/startup.py
+++ b/packages/burdockchute/burdockchute/decisions/startup.py
@@ -71,7 +71,7 @@
 
 
 def may_serve_outdated(held_back_at: float, now: float) -> bool:
-    """Whether to serve an outdated configuration, as no newer one came.
+    """Whether to serve an outdated configuration, as no newer one arrived.
 
     `held_back_at` is when it was first held back.
 
--- a/packages/burdockchute/burdockchute/decisions/switching.py
+++ b/packages/burdockchute/burdockchute/decisions/switching.py
@@ -3,8 +3,8 @@
 Versions change while requests are in flight, several times in quick
 succession, and orders fail, arrive late or are lost. An agent driven by
 events alone would at some time miss one and keep a gate open for weights that
-are gone, or wait for ever. So the next step is derived from the current state
-only, and the agent evaluates it again after each change.
+are gone, or wait indefinitely. So the next step is derived from the current
+state only, and the agent evaluates it again after each change.
 
 The order of the rules keeps the invariant: a gate is open only for weights
 that the upstream reports, and weights are unloaded only when their gate is
--- a/packages/burdockchute/burdockchute/decisions/versions.py
+++ b/packages/burdockchute/burdockchute/decisions/versions.py
@@ -2,7 +2,7 @@
 
 Operators name a version, and then the instances load it one after the other,
 while instances with the previous version still serve. Without a limit, an
-instance whose copy hangs would serve pages from old weights for ever. So
+instance whose copy hangs would serve pages from old weights indefinitely. So
 requests may start on a replaced version for the time that the machine's
 bounds set, less MARGIN_S, and not after it: a request that is sent at the
 last moment may wait in its engine before it starts.
--- a/packages/burdockchute/tests/decisions/test_membership.py
+++ b/packages/burdockchute/tests/decisions/test_membership.py
@@ -60,9 +60,9 @@
         self.assertNotIn(one.name, names(state))
 
     def test_loss_of_a_zone_is_applied_at_once(self):
-        left = [m for m in FLEET if m.place.zone != 'zone-1']
-        state = membership.on_list(self.known, left, {}, 1.0)
-        self.assertEqual([m.name for m in left], names(state))
+        remaining = [m for m in FLEET if m.place.zone != 'zone-1']
+        state = membership.on_list(self.known, remaining, {}, 1.0)
+        self.assertEqual([m.name for m in remaining], names(state))
 
     def test_sudden_loss_of_most_members_has_to_persist(self):
         # The list service restarts and is empty for some seconds. Every
--- a/packages/burdockchute/tests/decisions/test_spreading.py
+++ b/packages/burdockchute/tests/decisions/test_spreading.py
@@ -84,8 +84,8 @@
         members = fleet(100)
         own = members[0]
         before = neighbours.neighbours('model/s', own, members)
-        left = [m for m in members if m.name != before[0]]
-        after = neighbours.neighbours('model/s', own, left)
+        remaining = [m for m in members if m.name != before[0]]
+        after = neighbours.neighbours('model/s', own, remaining)
         self.assertEqual(set(before[1:]), set(before) & set(after))
 
 
--- a/packages/burdockchute/tests/decisions/test_staging.py
+++ b/packages/burdockchute/tests/decisions/test_staging.py
@@ -68,10 +68,12 @@
         older = CopyProgress(2, 0.96, 7.5, 0.5, known=0.96, full_copy_s=4.5)
         newest = CopyProgress(3, 0.0, 5.5, 2.8, known=0.0, full_copy_s=4.5)
         self.assertEqual((2, 3), staging.versions_to_copy(3, [older, newest]))
-        ends = newest._replace(serving_left_s=1.5)
-        self.assertEqual((3,), staging.versions_to_copy(3, [older, ends]))
-        comes = newest._replace(share=0.8, known=1.0)
-        self.assertEqual((3,), staging.versions_to_copy(3, [older, comes]))
+        ending = newest._replace(serving_left_s=1.5)
+        self.assertEqual((3,), staging.versions_to_copy(3, [older, ending]))
+        nearly_complete = newest._replace(share=0.8, known=1.0)
+        self.assertEqual(
+            (3,), staging.versions_to_copy(3, [older, nearly_complete])
+        )
 
     def test_precedence_does_not_change_for_a_small_gain(self):
         """If precedence alternated, neither copy would complete in time."""
--- a/packages/burdockchute/tests/decisions/test_subset.py
+++ b/packages/burdockchute/tests/decisions/test_subset.py
@@ -107,11 +107,11 @@
         self.assertEqual(before, links(self.members))
 
     def test_loss_of_a_zone_leaves_every_agent_with_links(self):
-        left = [m for m in self.members if m.place.zone != 'zone-2']
-        counts = counts_of(links(left))
+        remaining = [m for m in self.members if m.place.zone != 'zone-2']
+        counts = counts_of(links(remaining))
         self.assertEqual(
             {subset.LOCAL_ENTRIES + subset.REMOTE_ENTRIES},
-            {counts[m.name] for m in left if m.role == 'agent'},
+            {counts[m.name] for m in remaining if m.role == 'agent'},
         )
 
     def test_small_site_links_all(self):
