--- a/packages/burdockchute-entry/burdockchute_entry/straight/placement_round.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/placement_round.py
@@ -1,14 +1,15 @@
-"""What one round of giving out places knows of a service's targets.
-
-Load: more callers than places, at a service of dozens of upstreams. Each
-report of an agent and each answer may free a place and starts a round, some
-hundreds a second. A round that looked anew at every target for every request
-that waits takes milliseconds, and then the entry does nothing else: answers
-crawl, and what operators have saved is taken in seconds late.
-
-So a round looks at each target once, keeps those that have room, and is over
-when there are none. A request that asks for more than one that found nothing
-in the same round is passed over.
+"""State of one round of assigning slots of a service's targets.
+
+A round starts after each load report and each answer, as either may free a
+slot. For a service with dozens of upstreams and more callers than slots that
+is some hundreds of rounds per second. A round that evaluated every target
+for every waiting request would take milliseconds and occupy the entry
+completely: answers slow to a crawl, and configuration saved by operators is
+applied seconds late.
+
+A round therefore evaluates each target once, keeps those with headroom, and
+ends when none is left. It skips a request that demands more than another
+one that could not be placed in the same round.
 """
 
 from __future__ import annotations
@@ -25,9 +26,9 @@
 
 
 class PlacementRound:
-    """The targets that have room, and what was asked of them in vain.
+    """The targets with headroom, and the requests that could not be placed.
 
-    `view_of` gives the view of a target as it is now.
+    `view_of` returns the current view of a target.
     """
 
     def __init__(
@@ -40,16 +41,17 @@
             for target in targets
             if target.load.headroom(now) > 0
         }
-        # Prompt and time left of what found no place.
+        # Prompt length and time left of requests that could not be placed.
         self._unplaceable: list[tuple[int, float | None]] = []
 
-    def has_room(
+    def has_headroom(
         self, is_overdue: bool, reserve: float = 0.0, is_shared: bool = False
     ) -> bool:
-        """Tell whether any target may take a request, fresh or late.
+        """Whether any target may take a request that is on time or overdue.
 
-        `reserve` is the part of its slots that is kept free of late work;
-        `is_shared` is for a request that is bound to this entry's share.
+        `reserve` is the fraction of a target's slots that is kept free of
+        overdue requests. `is_shared` marks a request that may only use this
+        entry's share of the free slots.
         """
         return any(
             (not is_shared or engine_placement.has_share(view))
@@ -62,7 +64,7 @@
     def candidates(
         self, allows: Callable[[Target], bool]
     ) -> dict[str, tuple[Target, EngineView]]:
-        """Give the targets with room that a request may run on, by id."""
+        """Return the targets with headroom that `allows` accepts, by id."""
         return {
             name: (target, view)
             for name, (target, view) in self._open.items()
@@ -70,7 +72,7 @@
         }
 
     def slot_taken(self, target: Target) -> None:
-        """Note that a target was given one more request."""
+        """Update the view of a target that was assigned a request."""
         if target.load.headroom(self._now) > 0:
             self._open[target.id] = (target, self._view_of(target))
         else:
@@ -79,16 +81,20 @@
     def record_unplaceable(
         self, pending: PendingRequest, left_s: float | None
     ) -> None:
-        """Note a request that no target could take."""
+        """Record a request that no target could take.
+
+        Requests that may not run on every target are not recorded, as their
+        failure says nothing about others.
+        """
         if not _is_restricted(pending):
             self._unplaceable.append((pending.ctx.prompt_tokens, left_s))
 
     def is_unplaceable(
         self, pending: PendingRequest, left_s: float | None
     ) -> bool:
-        """Tell whether a request asks for more than one that found nothing.
+        """Whether a request demands at least as much as one that had no slot.
 
-        A late one needs a free slot, whatever its prompt.
+        An overdue request needs a free slot, however long its prompt is.
         """
         prompt = pending.ctx.prompt_tokens
         for other, other_left_s in self._unplaceable:
--- a/packages/burdockchute-entry/burdockchute_entry/straight/scheduler.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/scheduler.py
@@ -452,7 +452,7 @@
             needs_slot = is_engine and queue is service_queue.overdue
             is_shared = is_engine and queue is not service_queue.resumed
             while len(queue) and len(skipped) < MAX_SKIPPED:
-                if not placement_round.has_room(
+                if not placement_round.has_headroom(
                     needs_slot, reserve, is_shared
                 ):
                     break
--- a/packages/burdockchute-entry/burdockchute_entry/straight/slow_links.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/slow_links.py
@@ -1,4 +1,4 @@
-"""Links to agents behind which requests stand, as one entry knows them."""
+"""Detection of slow links to agents, as seen from one entry."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 class SlowLinks:
     """The state of each link that was ever suspected, by its agent.
 
-    `send` has a probe sent, or tells the other entries.
+    `send` sends a probe to an agent, or a report to the other entries.
     """
 
     def __init__(self, send: SendLinkMessage) -> None:
@@ -31,18 +31,18 @@
         self._link_count = 0
 
     def record_first_event(self, service: str, first_event_s: float) -> None:
-        """Note what a request took from its sending to its first event."""
+        """Update a service's usual time to first event with one request."""
         self._usual_start_s[service] = slow_links.usual_start_s(
             self._usual_start_s.get(service, 0.0), first_event_s
         )
 
     def is_held(self, agent: str, now: float) -> bool:
-        """Tell whether the engine beside an agent gets nothing new."""
+        """Whether new requests for the engine of an agent are held back."""
         state = self._states.get(agent)
         return state is not None and slow_links.is_held(state, now)
 
     def check(self, targets: Iterable[Target], now: float) -> None:
-        """Probe links that are suspect and tell of those that are slow."""
+        """Probe suspected links and report slow ones to the other entries."""
         agents = {_agent_of(target): target for target in targets}
         for agent in self._states.keys() - agents.keys():
             del self._states[agent]
@@ -56,7 +56,7 @@
             target.is_held = self.is_held(agent, now)
 
     def handle_event(self, event: LinkEvent, now: float) -> None:
-        """Take in what an agent returned, or another entry tells."""
+        """Process a returned probe or a report of another entry."""
         before = self._states.get(event.agent, LinkState())
         match event:
             case ProbeReturned(sent_at=sent_at):
@@ -95,7 +95,7 @@
             before = LinkState()
         state = slow_links.checked(before, target.load.reported_at, now)
         if slow_links.should_probe(state, suspect):
-            # To the microsecond, as it comes back.
+            # The probe returns this time in microseconds, and it must match.
             sent_at = round(now, 6)
             state = state._replace(probe_at=sent_at)
             self._send(ProbeWanted(agent, sent_at))
--- a/packages/burdockchute-entry/burdockchute_entry/straight/targets.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/targets.py
@@ -1,4 +1,4 @@
-"""Upstreams as one entry uses them: connections, load and health."""
+"""Per-entry state of upstreams: connections, load and health."""
 
 from __future__ import annotations
 
@@ -14,24 +14,26 @@
 from burdockchute.upstreams import connections
 from burdockchute.upstreams.connections import Connection
 
-# A kept connection is given up this long before its upstream would close
-# it, so that no request crosses the close.
+# An idle connection is closed this long before its upstream would close it,
+# so that no request is sent while the close is on its way.
 IDLE_MARGIN_S = 0.5
 
-# An upstream that does not say how long it keeps a connection keeps it for
-# at least so long.
+# Assumed keep-alive time of an upstream that does not announce one; it keeps
+# connections at least this long.
 DEFAULT_IDLE_S = 4.0
 
-# A request that may not be repeated goes on a connection that was used this
-# recently, or on a new one: a reset leaves its outcome unknown.
+# A non-idempotent request only reuses a connection that was used this
+# recently and otherwise opens a new one, as a reset leaves its outcome
+# unknown.
 NON_IDEMPOTENT_IDLE_S = 1.0
 
-# Free slots are shared out anew after each report, and at least this often.
+# Free slots are divided among the entries again after each load report, and
+# at least this often.
 SHARE_PERIOD_S = 0.15
 
 
 class UnstartedRequest(NamedTuple):
-    """A request of ours that has not begun to answer."""
+    """A request of this entry that has produced no event yet."""
 
     prompt_tokens: int
     sent_at: float
@@ -40,9 +42,10 @@
 class Target:
     """One upstream.
 
-    `versions` is what it last said that it has loaded, by its own entry in
-    the list or by its agent. `last_received_at` is when its last byte came,
-    `unstarted` has our requests that have not begun to answer, by id.
+    `versions` are the versions it last reported as loaded, in the upstream
+    list or through its agent. `last_received_at` is when its last byte
+    arrived. `unstarted` has the requests of this entry that have produced no
+    event yet, by id.
     """
 
     def __init__(self, upstream: Upstream, now: float) -> None:
@@ -53,19 +56,19 @@
         self.last_received_at = now
         self.slowness = 1.0
         self.unstarted: dict[str, UnstartedRequest] = {}
-        # What the last request took from its sending to its first event.
+        # Time to first event of the last request that was sent to it.
         self.last_first_event_s = 0.0
-        # Requests end there without having begun.
+        # Whether requests end there without having started.
         self.is_behind = False
-        # Of its free slots, those that this entry may use until `share_until`.
+        # Number of its free slots that this entry may use until `share_until`.
         self.share = 0
         self.share_until = now
         self.closes_at: float | None = None
-        # When it is likely to take requests again, by its agent.
+        # When it will probably accept requests again, by its agent's estimate.
         self.opens_at: float | None = None
-        # Since when its engine loads and takes nothing new.
+        # Since when its engine has been loading and accepting no new requests.
         self.closed_at: float | None = None
-        # What was sent before stands in the link to it.
+        # Earlier requests are still queued in the link to it.
         self.is_held = False
         self._idle: list[tuple[Connection, float]] = []
         self.load.apply_report(0, upstream.slots, 1, 0.0, (), now)
@@ -76,13 +79,13 @@
         return self.upstream.id
 
     def update_listing(self, upstream: Upstream) -> None:
-        """Take in a newer entry of the list."""
+        """Replace its entry in the upstream list by a newer one."""
         if upstream.versions != self.upstream.versions:
             self.versions = upstream.versions
         self.upstream = upstream
 
     def is_usable(self, now: float) -> bool:
-        """Tell whether it may get a request."""
+        """Whether it may be sent a request."""
         return not self.upstream.draining and health.is_usable(
             self.health, now
         )
@@ -90,9 +93,10 @@
     def draw_share(
         self, entries: int, max_slots: float, chance: float, now: float
     ) -> None:
-        """Draw how many of its free slots this entry may use for SHARE_S.
+        """Set how many free slots this entry may use for SHARE_PERIOD_S.
 
-        `chance` is drawn from 0 to 1; all entries may use `max_slots`.
+        `chance` is a random number from 0 to 1 that decides the fractional
+        part. All entries together may use `max_slots`.
         """
         free = self.load.slots - self.load.in_flight(now)
         self.share = engine_placement.random_share(
@@ -101,7 +105,7 @@
         self.share_until = now + SHARE_PERIOD_S
 
     def view(self, is_remote: bool, now: float) -> EngineView:
-        """Give what is known of it as an engine that entries share."""
+        """Return its state as an engine that is shared by entries."""
         sent_at = [item.sent_at for item in self.unstarted.values()]
         free = health.headroom(
             self.load.headroom(now), sent_at, self.is_behind, now
@@ -124,23 +128,23 @@
         )
 
     def first_event_estimate_s(self, now: float) -> float:
-        """Give what a request takes to begin there, by the last of ours."""
+        """Estimate the time to first event from this entry's last requests."""
         waits = [now - item.sent_at for item in self.unstarted.values()]
         return max(self.last_first_event_s, *waits, 0.0)
 
     def longest_wait_s(self, now: float) -> float:
-        """Give for how long a request of ours has waited to begin there."""
+        """Return the longest time an unstarted request has waited there."""
         sent_at = min(
             (item.sent_at for item in self.unstarted.values()), default=now
         )
         return now - sent_at
 
     def closed_for_s(self, now: float) -> float | None:
-        """Give how long it takes nothing new, None if it does."""
+        """Return for how long it has accepted no requests, None if it does."""
         return None if self.closed_at is None else now - self.closed_at
 
     def connection(self, now: float, non_idempotent: bool) -> Connection:
-        """Give a connection for one request; raises NotConnected."""
+        """Return an idle or a new connection; raises NotConnected."""
         while self._idle:
             conn, kept_at = self._idle.pop()
             fresh = not non_idempotent or now - kept_at < NON_IDEMPOTENT_IDLE_S
@@ -150,7 +154,7 @@
         return connections.connect(self.upstream.endpoint)
 
     def keep(self, conn: Connection, idle_s: float, now: float) -> None:
-        """Keep a connection for the next request, or close it."""
+        """Keep a connection for reuse, or close it if it can't be reused."""
         if not conn.may_serve_on:
             conn.close()
             return
@@ -162,9 +166,9 @@
     def remove_unstarted(
         self, request_id: str, started: bool, now: float
     ) -> bool:
-        """Note that a request of ours has begun to answer, or ended.
+        """Record that a request has started to answer, or has ended.
 
-        Tells whether this was not known yet.
+        Returns whether the request was still recorded as unstarted.
         """
         item = self.unstarted.pop(request_id, None)
         if item is None:
@@ -183,16 +187,16 @@
         return True
 
     def record_failure(self, now: float) -> None:
-        """Note a request or connection that the upstream failed."""
+        """Record a failed request or connection attempt."""
         self.health = health.after_failure(self.health, now)
 
     def record_success(self, now: float) -> None:
-        """Note that it answers."""
+        """Record a successful answer."""
         self.last_received_at = now
         if self.health.failures:
             self.health = health.Health()
 
     def close_idle(self) -> None:
-        """Close the connections that no request is on."""
+        """Close all idle connections."""
         while self._idle:
             self._idle.pop()[0].close()
--- a/packages/burdockchute-entry/tests/test_survey.py
+++ b/packages/burdockchute-entry/tests/test_survey.py
@@ -89,7 +89,7 @@
             target.load.reserved_for = 'somebody else'
         look = mock.Mock(side_effect=view_of)
         placement_round = PlacementRound(full, look, 0.0)
-        self.assertFalse(placement_round.has_room(False))
+        self.assertFalse(placement_round.has_headroom(False))
         look.assert_not_called()
 
     def test_what_asks_for_more_than_one_in_vain_is_passed_over(self):
