--- a/packages/burdockchute-entry/burdockchute_entry/straight/__init__.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/__init__.py
@@ -1,5 +1,5 @@
-"""Requests that an entry sends to upstreams itself, with no agent between.
+"""The direct path: an entry sends requests to upstreams without an agent.
 
-This is the way on platforms whose upstreams say themselves what they did not
-run, and refuse what was meant for another instance or another version.
+It is used on platforms whose upstreams report themselves which requests they
+did not run, and reject requests meant for another instance or version.
 """
--- a/packages/burdockchute-entry/burdockchute_entry/straight/attempts.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/attempts.py
@@ -1,8 +1,8 @@
-"""How an attempt at a request ends, and what an upstream has in hand.
+"""Results of an attempt at a request, and requests in flight.
 
-Three things are kept apart, since what a caller may be told depends on it:
-a request that was certainly not run, one that may have run, and one that was
-answered.
+The results distinguish a request that was certainly not run, one that may
+have run, and one that was answered, because the reply to the caller depends
+on it.
 """
 
 from __future__ import annotations
@@ -18,35 +18,38 @@
 
 
 class NotExecuted(NamedTuple):
-    """It was certainly not run there; `arrived` tells if it got there."""
+    """The upstream certainly did not run the request.
+
+    `arrived` tells whether the request reached the upstream.
+    """
 
     reason: str
     arrived: bool
 
 
 class OutcomeUnknown(NamedTuple):
-    """It may have run there, and its answer did not come whole."""
+    """The upstream may have run the request; its answer is incomplete."""
 
     reason: str
 
 
 class Failed(NamedTuple):
-    """The upstream ran it and says that it failed."""
+    """The upstream ran the request and answered with an error."""
 
     answer: CompleteAnswer
 
     @property
     def reason(self) -> str:
-        """Why, for the log."""
+        """The reason for the log."""
         return f'status {self.answer.head.status}'
 
 
 class TimedOut(NamedTuple):
-    """The time of the request is over while an upstream has it."""
+    """The deadline passed while the request was in flight."""
 
 
 class Answered(NamedTuple):
-    """The upstream's answer, or the begin of it."""
+    """The upstream's complete answer, or the start of a stream."""
 
     reply: CompleteAnswer | StreamAnswer
 
@@ -55,22 +58,22 @@
 
 
 class WeightsReplaced(Broken):
-    """The request was stopped before it began on weights of the past."""
+    """The request was cancelled before it started on replaced weights."""
 
 
 class UpstreamSilent(Broken):
-    """Nothing came from the upstream for so long that it is taken for dark."""
+    """The upstream sent nothing for the silence limit and may be down."""
 
 
-# Told of an attempt at a stream that ended early: upstream, cause, reason.
+# Called when an attempt at a stream ends early: upstream, cause, reason.
 OnInterrupted = Callable[[str, str, str], None]
 
 
 class SentRequest(NamedTuple):
-    """A request that an upstream has in hand.
+    """A request in flight at an upstream.
 
-    `start_by` is when it has to have begun on the weights that it was sent
-    for; None for no such bound.
+    `start_by` is the latest time at which the upstream may start it on the
+    weights it was sent for; None for no such limit.
     """
 
     slot: Slot
--- a/packages/burdockchute-entry/burdockchute_entry/straight/caller_watch.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/caller_watch.py
@@ -1,4 +1,4 @@
-"""Notices callers that hang up while their requests are under way."""
+"""Detects callers that disconnect while their requests are in progress."""
 
 from __future__ import annotations
 
@@ -14,11 +14,12 @@
 
 
 class CallerWatch:
-    """Ends the greenlet of a request whose caller hangs up.
+    """Kills the greenlet of a request when its caller disconnects.
 
-    A task that waits for an upstream writes nothing, so it would not see
-    this by itself, and the upstream would work for nobody. The watcher costs
-    nothing until the connection has something to read.
+    A greenlet that waits for an upstream writes nothing, so it would not
+    notice the disconnect itself, and the upstream would compute an answer
+    that is never read. The watcher costs nothing until the connection
+    becomes readable.
     """
 
     def __init__(self, sock: Any) -> None:
@@ -27,17 +28,18 @@
         self._io = get_hub().loop.io(sock.fileno(), READ)
 
     def start(self) -> None:
-        """Begin to watch."""
+        """Start watching."""
         self._io.start(self._check)
 
     def stop(self) -> None:
-        """Watch no longer."""
+        """Stop watching."""
         self._io.stop()
         self._io.close()
 
     def _check(self) -> None:
         hung_up_now = hung_up(self._sock)
-        # What a caller sends ahead stays readable until its turn comes.
+        # Pipelined data from the caller stays readable until the current
+        # request ends, so the watcher stops in any case.
         self._io.stop()
         if hung_up_now:
             self._greenlet.kill(CallerGone, block=False)
--- a/packages/burdockchute-entry/burdockchute_entry/straight/counters.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/counters.py
@@ -7,7 +7,7 @@
 
 
 class Counters:
-    """What the entry counts of each finished request."""
+    """Metrics recorded for each finished request."""
 
     def __init__(self) -> None:
         meter = metrics.meter()
@@ -26,8 +26,9 @@
         )
 
     def finished(self, request: FinishedRequest) -> None:
-        """Count one request."""
-        # Reasons carry figures and would make one series each.
+        """Record one finished request."""
+        # The part after the colon is a reason with numbers in it, which would
+        # create one time series per value.
         outcome = request.outcome.partition(':')[0]
         attributes = {
             'route': request.route,
--- a/packages/burdockchute-entry/burdockchute_entry/straight/replies.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/replies.py
@@ -1,4 +1,4 @@
-"""What the task of a caller gets to pass on."""
+"""Replies that the greenlet of a caller forwards."""
 
 from __future__ import annotations
 
@@ -14,17 +14,16 @@
 
 
 class CompleteAnswer(NamedTuple):
-    """An upstream's answer with its whole body."""
+    """An upstream's answer with its complete body."""
 
     head: AnswerHead
     body: bytes
 
 
 class StreamAnswer(NamedTuple):
-    """The head of a stream and its events, which are still to come.
+    """The head of a stream and an iterator over its events.
 
-    `events` raises StreamBroken where the stream can't be brought to its
-    end.
+    `events` raises StreamBroken if the stream can't be completed.
     """
 
     head: AnswerHead
@@ -35,15 +34,15 @@
 
 
 class CallerGone(gevent.GreenletExit):
-    """The caller has closed its connection; raised in its own greenlet."""
+    """The caller closed its connection; raised in the caller's greenlet."""
 
 
 class StreamBroken(OSError):
-    """A stream ends before its last event.
+    """A stream ended before its last event.
 
-    The server of the callers closes a connection whose task has met a reset,
-    without the mark that ends an answer; so the caller sees that the stream
-    isn't whole.
+    It is an ECONNRESET: after one, the WSGI server closes the connection
+    without the marker that ends an answer, so the caller can tell that the
+    stream is incomplete.
     """
 
     def __init__(self, reason: str) -> None:
--- a/packages/burdockchute-entry/burdockchute_entry/straight/retry_budgets.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/retry_budgets.py
@@ -1,4 +1,4 @@
-"""The retries that one entry may make, for each service."""
+"""Retry budgets of one entry, one for each service."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 class RetryBudgets:
-    """One budget a service; what operators allow is shared by all entries."""
+    """One budget per service.
+
+    The entries divide the retries that operators allow among themselves.
+    """
 
     def __init__(
         self, bounds: Callable[[], Bounds], entries: Callable[[], int]
@@ -19,15 +22,16 @@
         self._budgets: dict[str, retries.Budget] = {}
 
     def record_first_attempt(self, service: str, now: float) -> None:
-        """Count a request that is sent for the first time."""
+        """Add a first attempt, which earns a share of a retry."""
         policy = self._policy()
         budget = self._budget(service, now, policy)
         self._budgets[service] = retries.earn(budget, now, policy)
 
     def take(self, service: str, now: float, resuming: bool = False) -> bool:
-        """Take one retry out of a service's budget, if it has one.
+        """Take one retry from a service's budget; False if it has none.
 
-        `resuming` is for the rest of a stream, for which a part is kept.
+        `resuming` marks the remainder of a stream, for which a part of the
+        budget is reserved.
         """
         policy = self._policy()
         budget = self._budget(service, now, policy)
@@ -39,7 +43,7 @@
     def next_retry_in_s(
         self, service: str, now: float, resuming: bool = False
     ) -> float:
-        """Give when time alone brings a retry, in seconds from now."""
+        """Return the seconds until elapsed time alone earns a retry."""
         policy = self._policy()
         budget = self._budget(service, now, policy)
         return retries.next_retry_in_s(
@@ -47,7 +51,7 @@
         )
 
     def balance(self, service: str, now: float) -> float:
-        """Give the balance of a service's budget."""
+        """Return the balance of a service's budget."""
         return self._budget(service, now, self._policy()).balance
 
     def _policy(self) -> retries.BudgetPolicy:
--- a/packages/burdockchute-entry/burdockchute_entry/straight/service_queues.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/service_queues.py
@@ -1,4 +1,4 @@
-"""Requests that wait for one service, and the places that they get."""
+"""Requests that wait for a service, and the slots assigned to them."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from burdockchute_entry.pools import Pool
 from burdockchute_entry.straight.targets import Target
 
-# A queue is bounded by the time that its requests may wait; this only bounds
-# its memory when thousands come at once.
+# The queues are bounded by the time that requests may wait. This limit only
+# bounds their memory when thousands of requests arrive at once.
 MAX_WAITING = 512
 
 
 class RequestSpec(NamedTuple):
-    """Where a request may run.
+    """Where a request may run, and its objective.
 
-    `model` is empty for a service without weights. `elapsed_s` is what its
-    caller has spent on earlier sendings. `exact_version` is the version that a
-    stream was begun on, which a resumed one has to keep.
+    `model` is empty for a service without weights. `elapsed_s` is the time
+    that the caller spent on earlier attempts. `exact_version` is the version
+    that a stream was started on, which must be kept when it is resumed.
     """
 
     service: str
@@ -38,8 +38,8 @@
 class ServiceQueue(Pool):
     """The requests that wait for one service.
 
-    Streams that have begun wait in `resumed` and come first, then those in
-    `queue`, which can still be on time, then those in `overdue`.
+    Interrupted streams wait in `resumed` and are assigned first, then
+    requests in `queue`, which can still be on time, then those in `overdue`.
     """
 
     def __init__(self, service: str) -> None:
@@ -52,20 +52,20 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether nobody waits."""
+        """Whether no request waits."""
         return not any(map(len, self.queues))
 
     @property
     def queues(self) -> tuple[FairQueue, FairQueue, FairQueue]:
-        """The queues, in the order in which they get places."""
+        """The queues, in the order in which they get slots."""
         return self.resumed, self.queue, self.overdue
 
     def record_overdue_served(self, now: float) -> None:
-        """Note that one of the late got a place."""
+        """Record that an overdue request got a slot."""
         self._overdue_served.append(now)
 
     def overdue_served_recently(self, now: float) -> int:
-        """Give how many of the late got a place lately."""
+        """Return how many overdue requests got a slot recently."""
         while self._overdue_served:
             if now - self._overdue_served[0] <= wait_limits.RECENT_WINDOW_S:
                 break
@@ -74,18 +74,19 @@
 
 
 class Slot(NamedTuple):
-    """Where a request runs, and the version of weights it runs on."""
+    """Room for one request on a target, and the weights version there."""
 
     target: Target
     version: int | None
 
 
 class PendingRequest:
-    """One request that wants a place.
+    """A request that needs a slot.
 
-    `avoided` are targets that failed it, `rejected` when others had no room
-    for it; `is_new` as long as it may be on time, `is_overdue` while it waits
-    behind those, `resuming` once its caller has a part of its answer.
+    `avoided` are the targets that failed the request. `rejected` gives, by
+    target, when one had no capacity for it. `is_new` is set while the
+    request may be on time, `is_overdue` while it waits in the overdue queue,
+    `resuming` once its caller has received a part of the answer.
     """
 
     def __init__(
@@ -102,10 +103,10 @@
         self.slot: events.AsyncResult = events.AsyncResult()
 
     def avoids(self, target: Target) -> bool:
-        """Tell whether it has failed there already."""
+        """Whether the request already failed on a target."""
         return target.id in self.avoided
 
     def was_rejected(self, target: Target, now: float) -> bool:
-        """Tell whether it was rejected there a moment ago."""
+        """Whether a target rejected the request a moment ago."""
         rejected_at = self.rejected.get(target.id, float('-inf'))
         return now - rejected_at < wait_limits.REJECTION_BACKOFF_S
