--- a/packages/burdockchute-entry/burdockchute_entry/straight/exchange.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/exchange.py
@@ -1,4 +1,4 @@
-"""One request from its place to its answer, and what is tried on the way."""
+"""The exchange of one request: attempts, retries and the final reply."""
 
 from __future__ import annotations
 
@@ -36,15 +36,15 @@
 GATEWAY_TIMEOUT = 504
 BAD_GATEWAY = 502
 
-# A request that has crashed its upstreams may come back after this long, to
-# hear the same until its time of refusal is over.
+# Retry-After of a request that crashed its upstreams. It is refused again
+# until its refusal period is over.
 SUSPECT_RETRY_S = 1.0
 
 Read = TypeVar('Read')
 
 
 class _AnsweredByAnother(Exception):
-    """Another upstream has answered in place of one that was silent."""
+    """Another upstream answered in place of a silent one."""
 
     def __init__(self, attempt: Answered) -> None:
         super().__init__('another upstream has answered')
@@ -52,7 +52,7 @@
 
 
 class Exchange:
-    """One caller's request; its methods run in the caller's greenlet."""
+    """One caller's request; all methods run in the caller's greenlet."""
 
     def __init__(
         self,
@@ -69,18 +69,18 @@
         )
         self.sender = Sender(deps, inbound, ctx, route, spec)
         self._deps = deps
-        # Upstreams that have the request in hand, the newest last.
+        # The attempts in flight, the newest last.
         self._in_flight: list[SentRequest] = []
 
     @property
     def first_event_s(self) -> float | None:
-        """The time from arrival to the first event, None before that."""
+        """The seconds from arrival to the first event; None before it."""
         if self.stream is None or not self.stream.first_event_at:
             return None
         return self.stream.first_event_at - self.sender.ctx.arrived
 
     def answer(self) -> Reply:
-        """Give the reply for the caller; streams go on in its events."""
+        """Return the reply; a stream continues in its events."""
         sender = self.sender
         refused_s = self._deps.suspects.refused_for_s(
             sender.ctx.fingerprint, self._deps.now()
@@ -112,7 +112,7 @@
         return self._not_run_unless_sent(NotRun(attempt.reason, 503, retry_s))
 
     def _not_run_unless_sent(self, outcome: NotRun) -> Reply:
-        # Whatever the last upstream says: an earlier one may have run it.
+        # An earlier upstream may have run it, whatever the last one answered.
         if self.sender.runs:
             return Unknown(outcome.reason, BAD_GATEWAY)
         return outcome
@@ -131,7 +131,7 @@
         except Broken as exc:
             return self.sender.mark_broken(sent, exc)
         except BaseException:
-            # The caller has gone, or an error that nobody foresaw.
+            # The caller disconnected, or an unexpected error occurred.
             self.sender.abandon(sent)
             raise
         finally:
@@ -178,10 +178,10 @@
     def _read_unless_replaced(
         self, sent: SentRequest, read: Callable[[], Read]
     ) -> Read:
-        """Read on from an upstream until another one has answered.
+        """Read from an upstream until another one has answered.
 
-        One that is silent may be dark or only slow. It keeps the request
-        while another is asked, since that one may reject it.
+        A silent upstream may be down or only slow. It keeps the request
+        while another one is tried, since that one may reject it.
         """
         while True:
             try:
@@ -190,10 +190,10 @@
                 self._try_another_upstream(sent)
 
     def _try_another_upstream(self, sent: SentRequest) -> None:
-        """Ask other upstreams for the answer; returns if none gives it.
+        """Send the request to other upstreams; returns if none answers.
 
-        Raises _Replaced if one does, and Silent if an upstream that was
-        asked before has begun to answer.
+        Raises _AnsweredByAnother if one does, and UpstreamSilent if an
+        upstream that was tried earlier has started to answer.
         """
         sender, target = self.sender, sent.slot.target
         earlier = self._in_flight[: self._in_flight.index(sent)]
--- a/packages/burdockchute-entry/burdockchute_entry/straight/handover.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/handover.py
@@ -1,9 +1,9 @@
-"""Has the rest of a stream begun elsewhere before its run is given up.
+"""Starts the remainder of a stream elsewhere before its run is abandoned.
 
-A `StreamRun` is what one upstream makes of a stream. A `Handover` asks
-others for the rest in a greenlet of its own, while events of the present run
-are still passed on. Its owner changes over once the new run has brought an
-event.
+A `StreamRun` is the execution of a stream at one upstream. A `Handover`
+requests the remainder from other upstreams in a greenlet of its own, while
+events of the current run are still forwarded. Its owner switches over once
+the new run has delivered an event.
 """
 
 from __future__ import annotations
@@ -31,14 +31,14 @@
 
 
 class EventBatch(NamedTuple):
-    """Events of a stream that came together, and whether they end it."""
+    """Events that arrived together, and whether the stream is complete."""
 
     events: list[Event]
     complete: bool
 
 
 class StreamRun:
-    """One upstream's run of a stream."""
+    """The execution of a stream at one upstream."""
 
     def __init__(
         self, sender: Sender, sent: SentRequest, head: AnswerHead
@@ -55,15 +55,16 @@
 
     @property
     def partial_event(self) -> bytes:
-        """What came after the last whole event."""
+        """The bytes after the last complete event."""
         return self._cutter.rest
 
     def next_batch(
         self, should_stop: Callable[[], bool] | None = None
     ) -> EventBatch | None:
-        """Wait for more events; None when the time is over.
+        """Wait for more events; None if the deadline passes first.
 
-        Raises Broken, and Waiting once `should_stop` is so and nothing came.
+        Raises Broken, and Waiting once `should_stop` returns true while
+        nothing has arrived.
         """
         while True:
             data = self._sender.read_part(self.sent, should_stop)
@@ -78,24 +79,24 @@
 
 
 class Continuation(NamedTuple):
-    """The rest of a stream has begun; `batch` are its first events."""
+    """The run that continues a stream, and its first events."""
 
     run: StreamRun
     first_batch: EventBatch
 
 
 class NoContinuation(NamedTuple):
-    """Nobody goes on with a stream, at the moment."""
+    """No upstream continues the stream at the moment."""
 
     reason: str
 
 
 class Handover:
-    """Has the rest of a stream begun at another upstream.
+    """Starts the remainder of a stream at another upstream.
 
-    `slot` is where to ask first; None to wait for a place and, if that
-    attempt comes to nothing, for another one. The attempts that come to
-    nothing are told to `on_interrupted`, by upstream, cause and reason.
+    `slot` is the only one to try; without it, the handover waits for a slot
+    and, if that attempt fails, for another one. `on_interrupted` gets the
+    upstream, cause and reason of each failed attempt.
     """
 
     def __init__(
@@ -115,25 +116,26 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the rest has begun, or nobody goes on with it."""
+        """Whether the remainder has started, or no upstream continues it."""
         return self._greenlet.ready()
 
     def wait(self) -> Continuation | NoContinuation:
-        """Wait until it is ready, which it is by the request's deadline."""
+        """Wait until it is ready, by the request's deadline at the latest."""
         self._greenlet.join()
         if not self._greenlet.successful():
-            # The event loop has logged it.
+            # The event loop has logged the exception.
             return NoContinuation(
                 f'internal error: {self._greenlet.exception!r}'
             )
         return self._greenlet.value
 
     def cancel(self) -> None:
-        """End it; what it has begun is given up."""
+        """Cancel it and abandon the run that it may have started."""
         self._cancelled = True
         slot, self._slot = self._slot, None
         if slot is not None:
-            # Killed before it has begun, its greenlet would keep the place.
+            # If the greenlet is killed before it runs, nothing else frees
+            # the slot.
             self._sender.release(slot)
         if not self._greenlet.ready():
             self._greenlet.kill(block=False)
@@ -201,7 +203,7 @@
 
 
 def cause_of(exc: Broken) -> str:
-    """Name why an attempt at a stream ended, for the log."""
+    """Return the cause that is logged for a failed attempt at a stream."""
     if isinstance(exc, UpstreamSilent):
         return 'silent'
     if isinstance(exc, WeightsReplaced):
--- a/packages/burdockchute-entry/burdockchute_entry/straight/scheduler.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/scheduler.py
@@ -224,7 +224,7 @@
             queue.remove(pending.ctx.request_id)
 
     def reserve_slot(
-        self, pending: PendingRequest, within_s: float, remaining_s: float
+        self, pending: PendingRequest, within_s: float, remainder_s: float
     ) -> Slot | None:
         """Give a place where the answer goes on within a time, or None.
 
@@ -239,7 +239,7 @@
             return None
         views = [self._known.view(target, now) for target in eligible.values()]
         staying = [
-            v for v in views if engine_placement.stays_open(v, remaining_s)
+            v for v in views if engine_placement.stays_open(v, remainder_s)
         ]
         view = engine_placement.choose_engine(
             staying, wanted_of(pending), cost, within_s, begun=True
--- a/packages/burdockchute-entry/burdockchute_entry/straight/streams.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/streams.py
@@ -1,10 +1,11 @@
-"""Passes a stream on, and goes on with it elsewhere where that is needed.
-
-A stream goes on at another upstream when its own breaks off or falls silent,
-or when its engine waits for it to load other weights. It goes on after the
-last event that the caller has, on the same weights, and never looks whole
-when it is not. A run that may still bring events is kept until the rest has
-begun elsewhere.
+"""Forwards a stream and resumes it at another upstream if necessary.
+
+A stream is resumed at another upstream if its own one breaks the connection
+or falls silent, or if the engine waits for the stream to end before it loads
+other weights. It is resumed after the last event that the caller has
+received, on the same version of the weights. An incomplete stream never
+looks complete to the caller. A run that may still produce events is kept
+until the remainder has started elsewhere.
 """
 
 from __future__ import annotations
@@ -33,17 +34,18 @@
 from burdockchute_entry.straight.sending import Sender
 from burdockchute_entry.straight.service_queues import Slot
 
-# How often to look whether the rest has begun elsewhere.
+# Interval between checks whether the remainder has started elsewhere.
 HANDOVER_POLL_S = 0.05
 
-# How often to seek the rest of a stream whose upstream stays silent.
+# Interval between handover attempts while the upstream stays silent.
 HANDOVER_RETRY_S = 0.5
 
 
 class Stream:
-    """One stream; `longest_gap_s` is the longest pause between two reads.
+    """One stream to a caller.
 
-    `interruptions` has why each attempt at it ended early, the first first.
+    `longest_gap_s` is the longest pause between two batches of new events.
+    `interruptions` are the causes why attempts ended early, in order.
     """
 
     def __init__(
@@ -63,7 +65,7 @@
         self._run: StreamRun | None = StreamRun(sender, sent, head)
         self._handover: Handover | None = None
         self._may_move = True
-        # When the rest was last sought since this run was heard.
+        # When a handover was last tried since the last events of this run.
         self._handover_tried_at: float | None = None
         self._last_loss: OutcomeUnknown | None = None
         self._last_event_at = 0.0
@@ -72,7 +74,7 @@
         )
 
     def read_first_batch(self) -> EventBatch | None:
-        """Wait for the first events; None when the time is over.
+        """Wait for the first events; None if the deadline passes first.
 
         Raises Broken.
         """
@@ -82,7 +84,7 @@
         return batch
 
     def events(self, batch: EventBatch) -> Iterator[bytes]:
-        """Give the events as they come; raises StreamBroken."""
+        """Yield the data of events as they arrive; raises StreamBroken."""
         try:
             yield from self._emit(self._unseen(batch.events))
             while not batch.complete:
@@ -103,13 +105,13 @@
                 self._sender.abandon(self._detach_run())
 
     def _detach_run(self) -> SentRequest:
-        """Give what an upstream has in hand, for whoever ends it."""
+        """Return the request of the current run, which the caller must end."""
         assert self._run is not None
         sent, self._run = self._run.sent, None
         return sent
 
     def _next_batch(self) -> EventBatch:
-        """Wait for more events of whichever run has them first."""
+        """Wait for more events of the current run or of a handover."""
         while True:
             if self._run is None:
                 return self._next_from_handover()
@@ -134,7 +136,7 @@
             return batch
 
     def _unseen(self, events: list[Event]) -> list[Event]:
-        # The rest may begin before the last event that was passed on.
+        # The remainder may repeat events that were already forwarded.
         last = self._sender.last_event
         if not last.isdigit():
             return events
@@ -158,7 +160,7 @@
         self.longest_gap_s = max(self.longest_gap_s, now - self._last_event_at)
         self._last_event_at = now
 
-    # Elsewhere.
+    # Handovers.
 
     @property
     def _may_resume(self) -> bool:
@@ -167,11 +169,11 @@
 
     @property
     def _may_overlap(self) -> bool:
-        # What two runs both bring is told by the numbers of the events.
+        # Duplicates of two runs are recognized by numeric event ids.
         return self._may_resume and self._sender.last_event.isdigit()
 
     def _start_parallel_handover(self, exc: UpstreamSilent) -> None:
-        """Ask others for the rest; the silent run may still go on."""
+        """Request the remainder elsewhere; the silent run may continue."""
         now = self._deps.now()
         if self._handover is not None or not self._may_overlap:
             return
@@ -192,7 +194,7 @@
         self._start_handover(None)
 
     def _replace_broken_run(self, exc: Broken) -> None:
-        """Ask others for the rest of a run that has ended.
+        """Request the remainder of a run that has broken off.
 
         Raises StreamBroken.
         """
@@ -204,7 +206,7 @@
             self._start_handover_or_fail(self._last_loss)
 
     def _start_handover_or_fail(self, loss: OutcomeUnknown) -> None:
-        """Ask others for the rest of a lost run; raises StreamBroken."""
+        """Request the remainder of a lost run; raises StreamBroken."""
         self._pin_version()
         wait_s = wait_limits.MAX_RETRY_WAIT_S
         if not self._may_resume or not self._sender.may_retry(loss, wait_s):
@@ -212,7 +214,7 @@
         self._start_handover(None)
 
     def _next_from_handover(self) -> EventBatch:
-        """Wait for the rest, which no run of ours brings any more.
+        """Wait for a handover when there is no current run.
 
         Raises StreamBroken.
         """
@@ -224,11 +226,11 @@
                 return continuation
             if not handover.is_move:
                 raise StreamBroken(continuation.reason)
-            # A move has one place to try.
+            # A move only tries one slot.
             self._start_handover_or_fail(self._last_loss)
 
     def _move_if_better(self) -> None:
-        """Ask another engine for the rest if its own waits to load."""
+        """Move the stream if its engine waits to load other weights."""
         if self._run is None or self._handover is not None:
             return
         now = self._deps.now()
@@ -237,17 +239,17 @@
         if closed_s is None or not self._may_move or not self._may_overlap:
             return
         gap_s = sender.route.gap_s
-        remaining_s = self._remaining_s(now)
+        remainder_s = self._remainder_s(now)
         if sender.runs >= sender.route.max_attempts:
             return
         if not stream_moves.should_move(
-            closed_s, remaining_s, gap_s, sender.runs
+            closed_s, remainder_s, gap_s, sender.runs
         ):
             return
         self._pin_version()
         sender.pending.avoided.add(target.id)
         slot = self._deps.scheduler.reserve_slot(
-            sender.pending, stream_moves.GAP_SHARE * gap_s, remaining_s
+            sender.pending, stream_moves.GAP_SHARE * gap_s, remainder_s
         )
         if slot is None:
             return
@@ -258,7 +260,7 @@
         self._may_move = False
         self._start_handover(slot)
 
-    def _remaining_s(self, now: float) -> float:
+    def _remainder_s(self, now: float) -> float:
         produced = self.event_count * self._tokens_per_event
         likely = max(1, self._sender.ctx.max_tokens)
         return stream_moves.remainder_s(
@@ -278,14 +280,14 @@
             self._run.sent.conn.look_each(HANDOVER_POLL_S)
 
     def _switch_over(self, handover: Handover) -> EventBatch | NoContinuation:
-        """Change over to the run that has begun, if there is one."""
+        """Switch to the run that the handover has started, if any."""
         continuation = handover.wait()
         self._handover = None
         if isinstance(continuation, NoContinuation):
             self._keep_current_run()
             return continuation
         if self._run is not None and self._is_empty(continuation.first_batch):
-            # The run that goes on knows better where the stream ends.
+            # The current run goes on and decides where the stream ends.
             self._sender.abandon(continuation.run.sent)
             self._keep_current_run()
             return NoContinuation('the rest is empty')
@@ -294,8 +296,8 @@
         if self._run is not None:
             before = self._run.upstream
             if handover.is_move:
-                why = 'its engine is to load'
-                self._record_interruption(before, 'closing', why)
+                reason = 'its engine is to load'
+                self._record_interruption(before, 'closing', reason)
             self._sender.abandon(self._detach_run())
         event = 'stream_moved' if handover.is_move else 'stream_resumed'
         self._log_switch(event, continuation.run.sent.slot, before)
@@ -309,7 +311,7 @@
         return self._handover is not None and self._handover.ready
 
     def _on_batch_received(self) -> None:
-        """Note that the run goes on; only a move is still of use."""
+        """Cancel a handover that is not a move, as the run continues."""
         self._handover_tried_at = None
         if self._handover is not None and not self._handover.is_move:
             self._cancel_handover()
@@ -321,12 +323,12 @@
             self._keep_current_run()
 
     def _keep_current_run(self) -> None:
-        """Go on with the present run, if there is one."""
+        """Continue with the current run, if there is one."""
         if self._run is not None:
             self._sender.upstream = self._run.upstream
             self._run.sent.conn.look_each(LOOK_S)
 
-    # What is logged.
+    # Logging.
 
     def _record_interruption(
         self, upstream: str, cause: str, reason: str
