--- a/packages/burdockchute-entry/burdockchute_entry/straight/sending.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/sending.py
@@ -1,4 +1,4 @@
-"""Hands one request on to upstreams and reads what they answer."""
+"""Sends one request to upstreams and reads their answers."""
 
 from __future__ import annotations
 
@@ -40,15 +40,15 @@
 from burdockchute_entry.straight.service_queues import RequestSpec
 from burdockchute_entry.straight.service_queues import Slot
 
-# Longest body of a plain answer that is held until it is whole.
+# Longest body of a plain answer, which is buffered until it is complete.
 MAX_ANSWER_BYTES = 8 * 1024 * 1024
 
-# An upstream answers by itself when the time that it was given is over; its
-# own answer says more than ours, so it is waited for this much longer.
+# An upstream answers by itself when the time limit sent to it is over. Its
+# answer is more specific than ours, so it gets this much extra time.
 ANSWER_GRACE_S = 0.1
 
 # With less time left than this a request is not sent: no upstream could
-# answer it, and it would only take a place.
+# answer it, and it would only occupy a slot.
 MIN_TIME_LEFT_S = 0.02
 
 MISDIRECTED = 421
@@ -57,9 +57,10 @@
 
 
 class Dependencies(NamedTuple):
-    """What all exchanges of an entry share.
+    """Objects that all exchanges of an entry share.
 
-    `report_crash` tells other entries of a request in flight in a crash.
+    `report_crash` informs the other entries of a request that was in flight
+    at an upstream that crashed.
     """
 
     adapter: Adapter
@@ -72,10 +73,11 @@
 class Sender:
     """One request and its attempts; runs in the caller's greenlet.
 
-    `runs` counts the upstreams that may have run it, `sends` how often it
-    was to be sent. `last_event` is the id of the last event that its caller
-    has. Every Sent is ended by exactly one of `finish`, `fail`, `time_out`,
-    `mark_broken` and `take_refusal`, which free its place.
+    `runs` counts the upstreams that may have run the request, `sends` the
+    attempts to send it. `last_event` is the id of the last event that the
+    caller has received. Every SentRequest is ended by exactly one of
+    `finish`, `fail`, `time_out`, `abandon`, `mark_broken` and
+    `take_refusal`, which free its slot.
     """
 
     def __init__(
@@ -97,13 +99,13 @@
         self.pending = PendingRequest(ctx, work, spec)
         self._deps = deps
         self._started: set[Connection] = set()
-        # Of the rest of a stream that has begun.
+        # Rejections of the remainder of an interrupted stream.
         self._rejections = 0
 
-    # Places.
+    # Slots.
 
     def next_slot(self) -> Slot | NotRun:
-        """Wait for a place."""
+        """Wait for a slot."""
         now = self._deps.now()
         if self.ctx.deadline - now < MIN_TIME_LEFT_S:
             return NotRun('its time is over', 503, 0.0)
@@ -129,9 +131,9 @@
         attempt: NotExecuted | OutcomeUnknown | Failed,
         wait_s: float = 0.0,
     ) -> bool:
-        """Tell whether another attempt may follow; takes it of the budget.
+        """Whether another attempt is allowed; takes it from the retry budget.
 
-        Waits for the next retry if that comes within `wait_s`.
+        Waits for the next retry if the budget earns one within `wait_s`.
         """
         if self.sends >= retries.MAX_PLACEMENTS:
             return False
@@ -164,9 +166,9 @@
     # Dispatch.
 
     def dispatch(self, slot: Slot) -> SentRequest | NotExecuted:
-        """Connect to the upstream of a place and send the request there.
+        """Connect to the upstream of a slot.
 
-        Raises Broken if it could not be sent whole; the place is free then.
+        Frees the slot if that fails.
         """
         target = slot.target
         self.upstream = target.id
@@ -208,15 +210,16 @@
         sent.conn.send(data, self.inbound.method, self._is_own_answer)
 
     def _is_own_answer(self, status: int, headers: HeaderList) -> bool:
-        # An answer to an earlier request may come late on a kept connection.
-        # A refusal may name no request; a success always does.
+        # A late answer to an earlier request may arrive on a reused
+        # connection. A rejection may lack the request id; a success always
+        # has it.
         wanted = self._deps.adapter.request_id_header.lower()
         for name, value in headers:
             if name.lower() == wanted:
                 return value.strip() == self.inbound.id
         return status >= 400
 
-    # Reading. Each gives None when the time of the request is over, and
+    # Reading. Each method returns None once the deadline has passed, and
     # raises Broken.
 
     def read_head(self, sent: SentRequest) -> AnswerHead | None:
@@ -227,9 +230,10 @@
     def read_part(
         self, sent: SentRequest, should_stop: Callable[[], bool] | None = None
     ) -> bytes | None:
-        """Wait for more of the body; gives nothing at its end.
+        """Wait for more of the body; returns empty bytes at its end.
 
-        Raises Waiting as well, once `should_stop` is so and nothing came.
+        Also raises Waiting once `should_stop` returns true while nothing has
+        arrived.
         """
         return self._read_until_deadline(sent, sent.conn.body, should_stop)
 
@@ -238,7 +242,10 @@
         sent: SentRequest,
         read_next: Callable[[], bytes | None] | None = None,
     ) -> bytes | None:
-        """Wait for the whole body; `read` gives a part in place of `part`."""
+        """Wait for the complete body.
+
+        `read_next` reads the next part in place of `read_part`.
+        """
         read_next = read_next or (lambda: self.read_part(sent))
         parts: list[bytes] = []
         size = 0
@@ -250,7 +257,7 @@
         return None if data is None else b''.join(parts)
 
     def mark_started(self, sent: SentRequest) -> None:
-        """Note that the answer has begun: the prompt was read there."""
+        """Record that the answer has started: the prompt was processed."""
         self._started.add(sent.conn)
         self._deps.scheduler.mark_started(self.pending, sent.slot)
 
@@ -283,19 +290,19 @@
             return result
 
     def release(self, slot: Slot) -> None:
-        """Give back a place on which nothing was sent."""
+        """Free a slot to which nothing was sent."""
         self._deps.scheduler.release(self.pending, slot)
 
     def mark_silent(self, sent: SentRequest) -> None:
-        """Note that an upstream has fallen silent; it keeps the request."""
+        """Record that an upstream fell silent; it keeps the request."""
         target = sent.slot.target
         self.pending.avoided.add(target.id)
         target.record_failure(self._deps.now())
 
     def _check_start_deadline(self, sent: SentRequest, now: float) -> None:
-        # What still waits in its engine would begin on weights that may
-        # begin nothing any more; nobody would notice but the reader of a
-        # page of last week's weights.
+        # A request still queued in the engine would start on weights that
+        # may no longer start any request. Nothing would detect that, and the
+        # caller would get an answer of an outdated version.
         if sent.conn in self._started:
             return
         if versions.must_cancel(sent.start_by, sent.sent_at, now):
@@ -304,7 +311,7 @@
     # Ends.
 
     def finish(self, sent: SentRequest, head: AnswerHead) -> None:
-        """End it with the whole answer."""
+        """End the attempt with a complete answer."""
         self._keep_connection(sent, head)
         self._deps.suspects.answered(self.ctx.fingerprint)
         self._deps.scheduler.mark_answered(
@@ -312,7 +319,7 @@
         )
 
     def fail(self, sent: SentRequest, head: AnswerHead) -> None:
-        """End it with the upstream's word that it failed."""
+        """End the attempt with an error answer of the upstream."""
         self._keep_connection(sent, head)
         self.pending.avoided.add(sent.slot.target.id)
         self._deps.scheduler.mark_failed(
@@ -320,25 +327,25 @@
         )
 
     def time_out(self, sent: SentRequest) -> None:
-        """End it as too late."""
+        """End the attempt because the deadline passed."""
         sent.conn.close()
         self._deps.scheduler.mark_failed(
             self.pending, sent.slot, self._elapsed_s(sent)
         )
 
     def abandon(self, sent: SentRequest) -> None:
-        """End it for a reason that is not the upstream's."""
+        """End the attempt for a reason that is not the upstream's fault."""
         sent.conn.close()
         self._deps.scheduler.release(self.pending, sent.slot)
 
     def take_refusal(self, sent: SentRequest, head: AnswerHead) -> NotExecuted:
-        """End it with the upstream's word that it did not run it."""
+        """End the attempt because the upstream did not run the request."""
         self.runs -= 1
         target = sent.slot.target
         self._drain_refusal(sent, head)
         if head.status == MISDIRECTED:
-            # Another instance stands there, or other weights are loaded,
-            # than the list or its agent last said.
+            # Another instance runs at this address, or other weights are
+            # loaded, than the upstream list or the agent last reported.
             target.versions = {}
             target.record_failure(self._deps.now())
         self._deps.scheduler.mark_failed(
@@ -352,8 +359,8 @@
         return NotExecuted(f'refused with status {head.status}', True)
 
     def _drain_refusal(self, sent: SentRequest, head: AnswerHead) -> None:
-        # Its head has said all; what is wrong with the rest only costs the
-        # connection.
+        # The head of the answer is sufficient. A fault in its body only costs
+        # the connection.
         try:
             drained = self.read_body(sent) is not None
         except Broken:
@@ -364,7 +371,7 @@
             sent.conn.close()
 
     def mark_broken(self, sent: SentRequest, exc: Broken) -> OutcomeUnknown:
-        """End it with an answer that did not come whole."""
+        """End the attempt with an incomplete answer."""
         target = sent.slot.target
         self.pending.avoided.add(target.id)
         if isinstance(exc, WeightsReplaced):
@@ -409,5 +416,6 @@
 
 
 def _urgency(priority: int) -> int:
-    # Priorities of contexts rise with urgency, those of operators fall.
+    # The priority of a context rises with urgency; in configurations, 0 is
+    # the most urgent.
     return min(9, max(0, -priority))
