--- a/packages/burdockchute-entry/burdockchute_entry/straight/known_targets.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/known_targets.py
@@ -1,4 +1,4 @@
-"""The targets of one entry: which may run a request, and what is known."""
+"""The targets known to one entry, and which of them may run a request."""
 
 from __future__ import annotations
 
@@ -23,16 +23,17 @@
 from burdockchute_entry.straight.service_queues import RequestSpec
 from burdockchute_entry.straight.targets import Target
 
-# An engine that has taken nothing new for longer than this does not load but
-# has failed; a load and what ran before it takes some two seconds.
+# An engine that has accepted no requests for longer than this is not loading
+# but has failed. Finishing its requests and loading takes about two seconds.
 MAX_LOADING_S = 4.0
 
 
 class KnownTargets:
-    """All targets, by what the list, their agents and operators say.
+    """All targets, from the upstream list, agents' reports and settings.
 
-    `entries` is how many entries share them, by their agents. `region` is the
-    own one, `regions` gives that of each availability zone.
+    `entries` is the number of entries that share them, as reported by their
+    agents. `region` is the entry's own, `regions` maps availability zones to
+    their regions.
     """
 
     def __init__(
@@ -51,10 +52,10 @@
         self._targets: dict[str, Target] = {}
         self._ids_by_address: dict[str, list[str]] = {}
 
-    # What is learnt.
+    # Updates.
 
     def update(self, beliefs: Beliefs, now: float) -> None:
-        """Take in new beliefs."""
+        """Apply new routes, versions and upstreams."""
         self._beliefs = beliefs
         present = {upstream.id: upstream for upstream in beliefs.present()}
         for name in self._targets.keys() - present.keys():
@@ -75,9 +76,9 @@
     def apply_load_report(
         self, address: str, report: messages.LoadReport, now: float
     ) -> set[str]:
-        """Take in what the agent at an address reports.
+        """Apply a report of the agent at an address.
 
-        Gives the services whose targets it is about.
+        Returns the services of the targets there.
         """
         self.entries = max(1, report.entries or 1)
         known = self.at_address(address)
@@ -115,34 +116,34 @@
             report.running, slots, self.entries, 0.0, (), now
         )
 
-    # What is asked.
+    # Queries.
 
     def at_address(self, address: str) -> list[Target]:
-        """Give the targets at an address."""
+        """Return the targets at an address."""
         return [
             self._targets[n] for n in self._ids_by_address.get(address, ())
         ]
 
     def all_targets(self) -> list[Target]:
-        """Give all targets, by id."""
+        """Return all targets, sorted by id."""
         return [self._targets[name] for name in sorted(self._targets)]
 
     def cost(self, service: str) -> EngineCost | None:
-        """Give how a service's engines work, None if it has none."""
+        """Return the cost model of a service's engines, None without one."""
         routes = self._beliefs.routes
         known = routes.services.get(service) if routes else None
         if known is None or known.cost is None:
             return None
         return known.cost if known.cost.prompt_tokens_per_s > 0 else None
 
-    def ends_at(self, model: str, version: int) -> float | None:
-        """Give when a version may begin nothing any more, None for never."""
+    def start_deadline(self, model: str, version: int) -> float | None:
+        """Return until when a version may start requests, None for ever."""
         return versions.start_deadline(
             self._beliefs.history(model), version, self.bounds.version_s
         )
 
     def eligible(self, pending: PendingRequest, now: float) -> list[Target]:
-        """Give the targets that may run a request, with room or without."""
+        """Return the targets that may run a request, with headroom or not."""
         may_run = self._eligibility(pending, now)
         return [
             target
@@ -151,10 +152,10 @@
         ]
 
     def is_servable(self, pending: PendingRequest, now: float) -> bool:
-        """Tell whether any target may run a request, now or after a while.
+        """Whether any target may run a request, now or later.
 
-        Those that are left alone after a failure, or had no room, count as
-        well.
+        Targets that are not used for a while after a failure, or that had no
+        capacity, count as well.
         """
         fits = self._version_rule(pending, now)
         return any(
@@ -166,7 +167,7 @@
         )
 
     def explain_ineligible(self, pending: PendingRequest, now: float) -> str:
-        """Say why no target may run a request now, for the log."""
+        """Describe why no target may run a request now, for the log."""
         spec = pending.spec
         own = [
             target
@@ -184,7 +185,7 @@
         )
 
     def loads(self, spec: RequestSpec, now: float) -> list[InstanceLoad]:
-        """Give the loads of the targets that share a request's service."""
+        """Return the loads of the usable targets for a request."""
         return [
             target.load
             for target in self._usable(spec.service, now)
@@ -194,11 +195,11 @@
     def opening(
         self, pending: PendingRequest, now: float
     ) -> wait_limits.Opening:
-        """Give what opens for a request, for this entry.
+        """Return when and how many slots open for a request in this entry.
 
-        Engines load, or copy what they are to load, and their agents tell
-        when that is likely to end. Places count that open while the answer
-        can still be whole in time.
+        Engines load weights, or copy them first, and their agents report
+        when that will probably be done. Only slots that open early enough
+        for a complete answer before the deadline are counted.
         """
         spec = pending.spec
         if not spec.model or spec.exact_version is not None:
@@ -220,9 +221,10 @@
         )
 
     def answer_estimate_s(self, pending: PendingRequest) -> float:
-        """Estimate how long an answer takes on an engine that just opened.
+        """Estimate the seconds for an answer on an engine that just opened.
 
-        It is full at once then, and reads all prompts at the same time.
+        Such an engine is full at once and processes all prompts at the same
+        time.
         """
         cost = self.cost(pending.spec.service)
         if cost is None:
@@ -236,10 +238,10 @@
         full = engine_placement.EngineView(
             '', 0, 0, slots, 1, 0, unreported=slots
         )
-        return engine_placement.last_token_s(full, wanted_of(pending), cost)
+        return engine_placement.last_token_s(full, size_of(pending), cost)
 
     def view(self, target: Target, now: float) -> engine_placement.EngineView:
-        """Give what is known of a target as an engine."""
+        """Return the state of a target as an engine."""
         if now >= target.share_until:
             self._draw_share(target, now)
         region = self._regions.get(target.upstream.zone)
@@ -255,13 +257,13 @@
             )
         target.draw_share(self.entries, max_slots, self._rng.random(), now)
 
-    # One round of giving out places.
+    # One round of assigning slots.
 
     def start_round(self, service: str, now: float) -> PlacementRound:
-        """Look at the targets of a service."""
+        """Return a round over the usable targets of a service."""
         targets = self._usable(service, now)
-        # Entries with the same reports must not all choose the same engine
-        # among equals.
+        # Entries that have the same reports must not all choose the same one
+        # of equally good engines.
         self._rng.shuffle(targets)
         return PlacementRound(
             targets, lambda target: self.view(target, now), now
@@ -276,11 +278,12 @@
         reserve: float,
         now: float,
     ) -> Target | None:
-        """Give the target for a request, None for none now.
+        """Return the target for a request, None if there is none now.
 
-        `left_s` is what is left of its objective, None if it can't be on
-        time; `unit_s` is the usual time for a unit of work. `reserve` is the
-        part of an engine's slots that is kept free of late work.
+        `left_s` is the time left of its objective, None if it can no longer
+        be on time. `unit_s` is the usual time for a unit of work. `reserve`
+        is the fraction of an engine's slots that is kept free of overdue
+        requests.
         """
         found = placement_round.candidates(self._eligibility(pending, now))
         cost = self.cost(pending.spec.service)
@@ -294,15 +297,15 @@
             )
             return found[load.name][0] if load else None
         views = [view for _target, view in found.values()]
-        wanted = wanted_of(pending)
+        size = size_of(pending)
         started = pending.resuming
         drawn = engine_placement.sample_engines(views, self._rng)
         view = engine_placement.choose_engine(
-            drawn, wanted, cost, left_s, reserve, started
+            drawn, size, cost, left_s, reserve, started
         )
         if view is None and len(drawn) < len(views):
             view = engine_placement.choose_engine(
-                views, wanted, cost, left_s, reserve, started
+                views, size, cost, left_s, reserve, started
             )
         return found[view.name][0] if view else None
 
@@ -328,23 +331,23 @@
     ) -> Callable[[Target], bool]:
         spec = pending.spec
         min_version = self._min_version(spec, now)
-        # The same for all targets with a version, and looked up for each one
-        # in every round of giving out places.
+        # Cached, as it is the same for all targets with a version and looked
+        # up for each target in every round.
         ends: dict[int, float | None] = {}
 
-        def begins_in_time(target: Target) -> bool:
+        def starts_in_time(target: Target) -> bool:
             version = target.versions.get(spec.model)
             if version is None:
                 return True
             if version not in ends:
-                ends[version] = self.ends_at(spec.model, version)
-            ends_at = ends[version]
-            return ends_at is None or versions.starts_in_time(
-                ends_at, target.first_event_estimate_s(now), now
+                ends[version] = self.start_deadline(spec.model, version)
+            start_deadline = ends[version]
+            return start_deadline is None or versions.starts_in_time(
+                start_deadline, target.first_event_estimate_s(now), now
             )
 
         return lambda target: (
-            _may_run(target, spec, min_version) and begins_in_time(target)
+            _may_run(target, spec, min_version) and starts_in_time(target)
         )
 
     def _min_version(self, spec: RequestSpec, now: float) -> int:
@@ -354,8 +357,8 @@
         return versions.least_allowed(history, self.bounds.version_s, now)
 
 
-def wanted_of(pending: PendingRequest) -> engine_placement.RequestSize:
-    """Give what placement needs of a request."""
+def size_of(pending: PendingRequest) -> engine_placement.RequestSize:
+    """Return the properties of a request that placement needs."""
     return engine_placement.RequestSize(
         pending.ctx.prompt_tokens, pending.ctx.max_tokens
     )
@@ -373,8 +376,8 @@
 def _opens_at(target: Target, now: float) -> float | None:
     if target.opens_at is not None:
         return target.opens_at
-    # Its agent does not tell, and it takes nothing new: it loads, unless
-    # that lasts too long.
+    # Without an estimate of its agent, a target that accepts no requests is
+    # loading, unless that lasts too long.
     closed_s = target.closed_for_s(now)
     return now if closed_s is not None and closed_s < MAX_LOADING_S else None
 
--- a/packages/burdockchute-entry/burdockchute_entry/straight/scheduler.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/scheduler.py
@@ -1,7 +1,7 @@
-"""Places requests on upstreams, or tells at once that they can't be.
+"""Schedules requests on upstreams, or refuses at once those it can't place.
 
-What decides is in `burdockchute.decisions`; here it meets the greenlets of
-the requests, each of which waits for its place.
+The rules are in `burdockchute.decisions`. This module applies them to the
+greenlets of the requests, each of which waits for its slot.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from burdockchute.model.outcomes import NotRun
 from burdockchute.wire import messages
 from burdockchute_entry.straight.known_targets import KnownTargets
-from burdockchute_entry.straight.known_targets import wanted_of
+from burdockchute_entry.straight.known_targets import size_of
 from burdockchute_entry.straight.placement_round import PlacementRound
 from burdockchute_entry.straight.retry_budgets import RetryBudgets
 from burdockchute_entry.straight.service_queues import PendingRequest
@@ -40,35 +40,38 @@
 from burdockchute_entry.straight.targets import Target
 from burdockchute_entry.straight.targets import UnstartedRequest
 
-# A request whose service has nobody to run it hears so at once; upstreams
-# restart or are listed again within about this time.
+# Retry-After of a request that no upstream can run, which is refused at once.
+# Upstreams restart or are listed again within about this time.
 NO_UPSTREAM_RETRY_S = 1.0
 
-# After a report that may have freed places, those that come in this time are
-# used in one round; it is a fiftieth of the usual objective.
+# Slots freed by load reports within this time are assigned in one round. It
+# is a fiftieth of the usual objective.
 ASSIGN_DELAY_S = 0.01
 
-# A request whose target has no room does not hold up those behind it; more
-# than this many are not looked past in one go.
+# A request whose target has no headroom does not block those behind it. At
+# most this many requests of a queue are skipped in one round.
 MAX_SKIPPED = 16
 
 
 class Stage(NamedTuple):
-    """A queue in which a request waits, and for how many seconds."""
+    """A queue in which a request waits, and the time limit in seconds."""
 
     queue: FairQueue
     wait_s: float
 
 
 class Plan(NamedTuple):
-    """How a request waits; who is refused after it comes in `retry_s`."""
+    """The stages of a request's wait.
+
+    A request that is refused after them may be retried in `retry_s` seconds.
+    """
 
     stages: Sequence[Stage]
     retry_s: float
 
 
 def no_slot_in_time(waited_s: float, plan: Plan) -> NotRun:
-    """Refuse a request whose time to wait is over."""
+    """Return the refusal of a request whose waiting time is over."""
     return NotRun(
         f'no place came free in {waited_s:.2f} s',
         503,
@@ -77,11 +80,11 @@
 
 
 class Scheduler:
-    """The queues and the budgets of retries of one entry.
+    """The queues and retry budgets of one entry.
 
-    `region` is its own, `regions` gives that of each availability zone.
-    `send_link_message` has links to agents probed, and other entries told of
-    slow ones.
+    `region` is the entry's own, `regions` maps availability zones to their
+    regions. `send_link_message` sends probes to agents and reports slow
+    links to other entries.
     """
 
     def __init__(
@@ -103,39 +106,39 @@
             lambda: self._known.bounds, lambda: self._known.entries
         )
 
-    # What is learnt.
+    # Updates.
 
     def update(self, beliefs: Beliefs) -> None:
-        """Take in new beliefs."""
+        """Apply new routes, versions and upstreams."""
         self._known.update(beliefs, self._now())
         self.assign_free_slots()
 
     def apply_load_report(
         self, address: str, report: messages.LoadReport
     ) -> None:
-        """Take in what the agent at an upstream's address reports."""
+        """Apply a report of the agent at an upstream's address."""
         for service in self._known.apply_load_report(
             address, report, self._now()
         ):
             self._assign_soon(service)
 
     def handle_link_event(self, event: LinkEvent) -> None:
-        """Take in what is heard of the link to an agent."""
+        """Process an event of the link to an agent."""
         now = self._now()
         self._slow_links.handle_event(event, now)
         for target in self._known.at_address(event.agent):
             target.is_held = self._slow_links.is_held(event.agent, now)
 
     def check_links(self) -> None:
-        """Find out whether requests stand before a slow link."""
+        """Check which links to agents are slow."""
         self._slow_links.check(self._known.all_targets(), self._now())
 
     def set_bounds(self, bounds: Bounds) -> None:
-        """Take the machine's bounds from its settings, read again."""
+        """Apply the bounds of the machine's reloaded settings."""
         self._known.bounds = bounds
 
     def targets(self) -> list[Target]:
-        """Give all targets, by id."""
+        """Return all targets, sorted by id."""
         return self._known.all_targets()
 
     # Requests.
@@ -143,7 +146,7 @@
     def wait_for_slot(
         self, pending: PendingRequest, deadline: float
     ) -> Slot | NotRun:
-        """Wait for a place; gives NotRun if it can't have one in time."""
+        """Wait for a slot; returns NotRun if there is none in time."""
         plan = self.plan(pending, deadline)
         return (
             self._wait_in_stages(pending, plan)
@@ -152,7 +155,7 @@
         )
 
     def plan(self, pending: PendingRequest, deadline: float) -> Plan | NotRun:
-        """Tell where a request waits and for how long, or that it can't."""
+        """Return the stages in which a request waits, or its refusal."""
         now = self._now()
         service_queue = self._service_queue(pending.spec.service)
         spec = pending.spec
@@ -190,15 +193,16 @@
     def start_stage(
         self, pending: PendingRequest, stage: Stage, retry_s: float
     ) -> float | None:
-        """Let a request wait in a stage; gives for how long, None for not.
+        """Let a request wait in a stage and return the seconds, or None.
 
-        Its `slot` may be ready at once.
+        None means that it must not wait there. Its `slot` may be ready at
+        once.
         """
         service_queue = self._service_queue(pending.spec.service)
         pending.is_overdue = stage.queue is service_queue.overdue
         if pending.is_new and pending.is_overdue:
             service_queue.overload.record(True, self._now())
-        # One that has come back has no time to wait among the new ones.
+        # A returning request has no waiting time left in the on-time queue.
         pending.is_new = (
             stage.queue is service_queue.queue and stage.wait_s > 0
         )
@@ -213,12 +217,12 @@
         self._assign_slots(pending.spec.service)
         if not pending.is_overdue:
             return stage.wait_s
-        # The late stage counts from arrival.
+        # The time limit of the overdue stage counts from arrival.
         spent_s = self._now() - pending.ctx.arrived
         return max(0.0, stage.wait_s - spent_s)
 
     def stop_waiting(self, pending: PendingRequest) -> None:
-        """Take a request out of all queues."""
+        """Remove a request from all queues."""
         self._waiting.pop(pending.ctx.request_id, None)
         for queue in self._service_queue(pending.spec.service).queues:
             queue.remove(pending.ctx.request_id)
@@ -226,9 +230,9 @@
     def reserve_slot(
         self, pending: PendingRequest, within_s: float, remainder_s: float
     ) -> Slot | None:
-        """Give a place where the answer goes on within a time, or None.
+        """Return a slot where the answer continues within a time, or None.
 
-        The engine must stay open for the rest of the answer.
+        The engine must accept requests for the remainder of the answer.
         """
         now = self._now()
         cost = self._known.cost(pending.spec.service)
@@ -242,7 +246,7 @@
             v for v in views if engine_placement.stays_open(v, remainder_s)
         ]
         view = engine_placement.choose_engine(
-            staying, wanted_of(pending), cost, within_s, begun=True
+            staying, size_of(pending), cost, within_s, begun=True
         )
         return (
             self._take_slot(pending, eligible[view.name], now)
@@ -251,20 +255,20 @@
         )
 
     def is_servable(self, pending: PendingRequest) -> bool:
-        """Tell whether any target may run it, now or after a while."""
+        """Whether any target may run the request, now or later."""
         return self._known.is_servable(pending, self._now())
 
     def tokens_per_event(self, service: str) -> int:
-        """Give how many tokens an event of a service's streams holds."""
+        """Return the number of tokens in an event of a service's streams."""
         cost = self._known.cost(service)
         return cost.steps_a_pass if cost else 1
 
-    def ends_at(self, model: str, version: int) -> float | None:
-        """Give when a version may begin nothing any more, None for never."""
-        return self._known.ends_at(model, version)
+    def start_deadline(self, model: str, version: int) -> float | None:
+        """Return until when a version may start requests, None for ever."""
+        return self._known.start_deadline(model, version)
 
     def mark_started(self, pending: PendingRequest, slot: Slot) -> None:
-        """Note that an answer has begun: its prompt was read."""
+        """Record that an answer has started: its prompt was processed."""
         target, now = slot.target, self._now()
         if target.remove_unstarted(pending.ctx.request_id, True, now):
             service = pending.spec.service
@@ -278,7 +282,7 @@
         self._assign_slots(pending.spec.service)
 
     def release(self, pending: PendingRequest, slot: Slot) -> None:
-        """Free the place of a request that was not run there."""
+        """Free the slot of a request that was not run there."""
         slot.target.remove_unstarted(
             pending.ctx.request_id, False, self._now()
         )
@@ -288,7 +292,7 @@
     def mark_answered(
         self, pending: PendingRequest, slot: Slot, service_s: float
     ) -> None:
-        """Free the place of a request that was answered in so long."""
+        """Free the slot of a request that was answered in `service_s`."""
         service_queue = self._service_queue(pending.spec.service)
         now = self._now()
         target = slot.target
@@ -303,7 +307,7 @@
     def mark_failed(
         self, pending: PendingRequest, slot: Slot, service_s: float
     ) -> None:
-        """Free the place of a request that failed there after so long."""
+        """Free the slot of a request that failed after `service_s`."""
         service_queue = self._service_queue(pending.spec.service)
         now = self._now()
         target = slot.target
@@ -314,12 +318,12 @@
         self._assign_slots(pending.spec.service)
 
     def assign_free_slots(self) -> None:
-        """Use what room there is."""
+        """Assign all free slots to waiting requests."""
         for service, service_queue in self._service_queues.items():
             self._refuse_unservable(service_queue)
             self._assign_slots(service)
 
-    # What opens.
+    # Waiting times.
 
     def _overdue_wait_s(
         self, pending: PendingRequest, opening: wait_limits.Opening, now: float
@@ -339,8 +343,8 @@
     def _retry_s(
         self, pending: PendingRequest, overdue_s: float, now: float
     ) -> float:
-        # The overload as it is on arrival; the wait until the refusal is
-        # short against it.
+        # The overload is taken as of arrival; the wait until the refusal is
+        # short in comparison.
         service_queue = self._service_queue(pending.spec.service)
         lasted_s = service_queue.overload.duration_s(now)
         if lasted_s is None:
@@ -365,13 +369,13 @@
         reason = f'no upstream can run {service!r} now ({details}; {opens})'
         return NotRun(reason, 503, retry_s)
 
-    # How places are found.
+    # Assignment of slots.
 
     def _wait_in_stages(
         self, pending: PendingRequest, plan: Plan
     ) -> Slot | NotRun:
         pending.slot = events.AsyncResult()
-        began = self._now()
+        started = self._now()
         try:
             for stage in plan.stages:
                 wait_s = self.start_stage(pending, stage, plan.retry_s)
@@ -384,17 +388,19 @@
                     if pending.slot.ready():
                         return pending.slot.value
         except BaseException:
-            # The caller has gone: what it was given in this moment is free.
+            # The caller disconnected. A slot that was assigned at the same
+            # moment must be freed.
             assigned = pending.slot.value if pending.slot.ready() else None
             if isinstance(assigned, Slot):
                 self.release(pending, assigned)
             raise
         finally:
             self.stop_waiting(pending)
-        return no_slot_in_time(self._now() - began, plan)
+        return no_slot_in_time(self._now() - started, plan)
 
     def _refuse_unservable(self, service_queue: ServiceQueue) -> None:
-        # The weights that a stream was begun on may go while it waits.
+        # The version that a stream was started on may be unloaded everywhere
+        # while the stream waits.
         now = self._now()
         for item in service_queue.resumed.queued_before(now):
             pending = self._waiting[item.ctx.request_id]
@@ -426,7 +432,7 @@
                 victim.slot.set(NotRun('too many wait', 503, wait_s))
 
     def _assign_soon(self, service: str) -> None:
-        # Reports come from each agent several times a second.
+        # Each agent reports several times a second.
         if (
             service in self._assignments_due
             or self._service_queue(service).is_empty
@@ -492,7 +498,7 @@
         if pending.is_overdue:
             service_queue.record_overdue_served(now)
         elif pending.is_new and not pending.spec.model:
-            # Others are on time or not once their prompt is read.
+            # With a model, this is known once the prompt is processed.
             service_queue.overload.record(False, now)
         pending.slot.set(self._take_slot(pending, target, now))
         placement_round.slot_taken(target)
@@ -513,7 +519,7 @@
     def _objective_left_s(
         self, pending: PendingRequest, now: float
     ) -> float | None:
-        # None for a request that can't be on time.
+        # None for a request that can no longer be on time.
         if pending.resuming:
             return wait_limits.RESUME_START_LIMIT_S
         if pending.is_overdue:
--- a/packages/burdockchute-entry/burdockchute_entry/straight/sending.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/sending.py
@@ -186,7 +186,7 @@
             raise
         start_by = None
         if slot.version is not None:
-            start_by = self._deps.scheduler.ends_at(
+            start_by = self._deps.scheduler.start_deadline(
                 self.pending.spec.model, slot.version
             )
         return SentRequest(slot, conn, self._deps.now(), start_by)
