--- a/packages/burdockchute-agent/tests/test_rollouts.py
+++ b/packages/burdockchute-agent/tests/test_rollouts.py
@@ -1,7 +1,7 @@
-"""Weights on their way to several agents, and what goes wrong there.
+"""Rollouts of weights to several agents, with faults of all parties.
 
-Agents run in this process, with stand-ins for store and engines on real
-sockets.
+Agents run in this process, with stand-ins for the store and the engines on
+real sockets.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
             self.fleet.add(f'a{number}', place=place, **options)
         self.fleet.tell_members()
 
-    def test_new_version_reaches_all_for_one_copy_of_the_origin(self):
+    def test_new_version_reaches_all_with_one_copy_from_the_origin(self):
         self.start(6)
         first = self.fleet.publish(seed=1)
         second = self.fleet.publish(seed=2)
@@ -46,7 +46,8 @@
 
     def test_late_joiner_reads_nothing_from_the_origin(self):
         # An instance is replaced hours after the rollout. If it read the
-        # store, 1,800 restarts a day would be 1,800 copies on a paid link.
+        # store, 1,800 restarts a day would cost 1,800 copies over a link that
+        # is paid by volume.
         self.start(3)
         digest = self.fleet.publish()
         self.fleet.set_rows(story(digest))
@@ -58,9 +59,9 @@
         self.assertEqual(1.0, self.fleet.origin_copies(digest))
 
     def test_versions_changed_back_and_forth(self):
-        # An operator takes a version back while it is being copied, and
-        # puts it in force again. Every instance must end with the last one
-        # and with the memory of the other freed.
+        # An operator reverts a version while it is being copied, and then
+        # applies it again. Every instance must end with the last version and
+        # free the memory of the other one.
         self.start(3)
         first = self.fleet.publish(seed=1)
         second = self.fleet.publish(seed=2, chunks=64)
@@ -74,9 +75,9 @@
             self.fleet.wait_loaded(agent, {first})
             self.fleet.wait_held(agent, 16 * CHUNK - 5)
 
-    def test_version_given_up_in_mid_copy_frees_its_memory(self):
-        # The row names another version while megabytes of the one before
-        # are held. Kept, they would add up with each change of mind.
+    def test_version_replaced_during_its_copy_frees_its_memory(self):
+        # The row names another version while megabytes of the previous one
+        # are held. If they were kept, they would add up with each change.
         self.start(2, link=100_000.0)
         first = self.fleet.publish(seed=1, chunks=200)
         self.fleet.set_rows(story(first))
@@ -89,7 +90,7 @@
             self.assertEqual(2 * CHUNK - 5, agent.task.held_bytes())
         self.assertLess(self.fleet.origin_copies(first), 1.0)
 
-    def test_removed_row_leaves_nothing(self):
+    def test_removed_row_frees_everything(self):
         self.start(2)
         digest = self.fleet.publish()
         self.fleet.set_rows(story(digest))
@@ -100,9 +101,10 @@
             self.assertEqual(set(), agent.open_digests())
             self.assertEqual(0, agent.task.held_bytes())
 
-    def test_request_in_flight_holds_up_the_switch_without_room(self):
-        # The engine has memory for one version and a page is being written
-        # when the row names the next. The page must end in its own weights.
+    def test_request_in_flight_delays_a_switch_without_spare_memory(self):
+        # The engine has memory for one version, and a request is in flight
+        # when the row names the next one. The request must be finished by the
+        # weights that started it.
         self.start(1, engine_options={'memory_models': 1})
         first = self.fleet.publish(seed=1)
         second = self.fleet.publish(seed=2)
@@ -112,18 +114,18 @@
         self.assertIsNone(agent.task.gate.enter('story', first, ''))
         self.fleet.set_rows(story(second))
         self.fleet.wait(lambda: agent.open_digests() == set())
-        # Long enough for an order to be given and carried out.
+        # Long enough for an order to be sent and executed.
         gevent.sleep(2.5)
         self.assertEqual({first}, agent.loaded())
         agent.task.gate.leave('story', first, '')
         self.fleet.wait_open(second)
         self.assertEqual({second}, agent.loaded())
 
-    def test_version_that_no_engine_can_load_leaves_the_one_before(self):
+    def test_version_that_no_engine_can_load_keeps_the_previous_one(self):
         """A version is published whose load fails on every engine.
 
-        There is room for both. Each agent took the version that served away
-        after two failures, and nobody served the model any more.
+        Engines have memory for both versions. Agents used to unload the
+        serving version after two failures, so that no engine served the model.
         """
         self.start(2)
         first = self.fleet.publish(seed=1)
@@ -133,7 +135,7 @@
         for agent in self.fleet.agents.values():
             agent.fault(fail_orders=True)
         self.fleet.set_rows(story(second))
-        # Long enough for three orders, each later than the one before.
+        # Long enough for three orders with growing retry delays.
         gevent.sleep(8.0)
         for agent in self.fleet.agents.values():
             self.assertEqual({first}, agent.open_digests())
@@ -152,9 +154,9 @@
             gate = agent.task.gate
             self.assertIsNone(gate.enter('rhymes', base, rhymes))
 
-    def test_one_replica_at_a_time_takes_a_switch(self):
-        # A load takes a replica away where there is no room for two
-        # versions. If all three loaded at once nobody would answer.
+    def test_replicas_switch_one_at_a_time(self):
+        # A replica without memory for two versions doesn't serve while it
+        # loads. If all three loaded at once, none would serve.
         options = {'memory_models': 1, 'load_s': 0.4}
         self.start(3, engine_options=options)
         first = self.fleet.publish(seed=1)
@@ -176,8 +178,8 @@
         self.fleet = fleets.Fleet(self)
 
     def fake_peer(self, digest: str, answer) -> FakePeer:
-        made = self.fleet.store._weights[digest]
-        document = fake_weights.manifest_of(made)
+        weights = self.fleet.store._weights[digest]
+        document = fake_weights.manifest_of(weights)
         peer = FakePeer(
             self,
             'bad',
@@ -186,9 +188,9 @@
             answer,
             manifests.document_of(
                 manifests.build(
-                    made.name,
-                    fake_weights.read(made, 0, made.size),
-                    made.chunk_size,
+                    weights.name,
+                    fake_weights.read(weights, 0, weights.size),
+                    weights.chunk_size,
                 )
             ),
         )
@@ -196,8 +198,8 @@
         return peer
 
     def test_origin_sends_corrupt_chunks(self):
-        # The store's reply is changed on the way. The agent must ask again
-        # and never serve what it got.
+        # The store's reply is corrupted in transit. The agent must read the
+        # chunk again and never serve the corrupt one.
         self.fleet.fault(corrupt=0.5, seed=3)
         self.fleet.add('a0')
         digest = self.fleet.publish()
@@ -205,10 +207,10 @@
         self.fleet.wait_open(digest)
         self.assertGreater(self.fleet.origin_copies(digest), 1.0)
 
-    def test_peer_that_always_corrupts_is_asked_no_more(self):
-        # A peer's memory is bad: it claims to hold everything and each
-        # chunk it sends is wrong. Asking it on and on, the copy would never
-        # end.
+    def test_peer_that_always_corrupts_is_banned(self):
+        # A peer with faulty memory claims to hold all chunks, and each chunk
+        # that it sends is corrupt. If the agent kept requesting from it, the
+        # copy would never complete.
         digest = self.fleet.publish()
         peer = self.fake_peer(digest, lambda index: b'x' * CHUNK)
         self.fleet.add('a0')
@@ -218,11 +220,11 @@
         self.assertLessEqual(len(peer.asked), 4)
 
     def test_stalled_peer_near_the_end_of_a_copy(self):
-        # A link stalls after most chunks have come through it; it stays
-        # open and nothing is refused. A copy that waited for its last
-        # chunks there would be late by as long as the link stays so.
+        # A link stalls after most chunks were received over it; it stays open
+        # and no request is refused. A copy that waited for its last chunks
+        # would be delayed until the link recovers.
         digest = self.fleet.publish()
-        made = self.fleet.store._weights[digest]
+        weights = self.fleet.store._weights[digest]
         sent: list[int] = []
 
         def answer(index: int) -> bytes | None:
@@ -230,7 +232,7 @@
                 return None
             sent.append(index)
             start = index * CHUNK
-            return fake_weights.read(made, start, start + CHUNK)
+            return fake_weights.read(weights, start, start + CHUNK)
 
         self.fake_peer(digest, answer)
         self.fleet.add('a0')
@@ -247,10 +249,10 @@
             self.fleet.add(f'a{number}')
         self.fleet.tell_members()
 
-    def test_store_that_was_down_is_not_overrun_when_it_comes_back(self):
-        # The store goes away in the middle of a copy. By the time it is
-        # back everyone has waited long enough to read it; if they all did,
-        # it would have to carry a copy for each.
+    def test_recovered_store_is_not_overloaded(self):
+        # The store fails in the middle of a copy. When it is back, every
+        # agent has waited long enough to read it; if all of them did, the
+        # store would have to send one copy to each.
         digest = self.fleet.publish(chunks=64)
         self.fleet.fault(bytes_per_s=100_000)
         self.fleet.set_rows(story(digest))
@@ -264,7 +266,7 @@
         self.fleet.wait_open(digest)
         self.assertLessEqual(self.fleet.origin_copies(digest), 1.25)
 
-    def test_store_that_is_down_when_a_version_is_named(self):
+    def test_store_is_down_when_a_version_is_named(self):
         digest = self.fleet.publish()
         self.fleet.fault(outage=True)
         self.fleet.set_rows(story(digest))
@@ -281,7 +283,7 @@
         self.assertEqual(1.0, self.fleet.origin_copies(digest))
 
     def test_lost_replies_of_the_store(self):
-        # The store has sent and counted the bytes and the reply is lost.
+        # The store has sent and counted the bytes, but the reply is lost.
         digest = self.fleet.publish()
         self.fleet.fault(lose_replies=0.5, seed=5)
         self.fleet.set_rows(story(digest))
@@ -313,10 +315,10 @@
         self.relays.append(relay)
         return relay.port
 
-    def test_region_cut_off_for_the_length_of_a_copy(self):
-        # A region loses the others and the store while a version is put in
-        # force; its instances go on with what they have. When it is back it
-        # must catch up from the others, not from the origin.
+    def test_region_is_cut_off_during_a_copy(self):
+        # A region is cut off from the others and the store while a version is
+        # applied; its instances keep serving the previous one. Once connected
+        # again it must copy from the other regions, not from the origin.
         first = self.fleet.publish(seed=1)
         second = self.fleet.publish(seed=2)
         self.fleet.set_rows(story(first))
