--- a/packages/burdockchute-agent/burdockchute_agent/staged/reports_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/reports_task.py
@@ -78,10 +78,10 @@
         self._send_frame(link, links.frame_of(probe))
 
     def forward(
-        self, link: links.Link, news: messages.CrashNews | messages.LinkNews
+        self, link: links.Link, event: messages.CrashNews | messages.LinkNews
     ) -> None:
         """Forward an event from one entry to all others."""
-        frame = links.frame_of(news)
+        frame = links.frame_of(event)
         for other in list(self.entries):
             if other is not link:
                 self._send_frame(other, frame)
--- a/packages/burdockchute-agent/burdockchute_agent/staged/staged_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/staged_task.py
@@ -78,7 +78,7 @@
 
 
 class StagingAreaScanned(NamedTuple):
-    """The staging area was scanned for the chunks of a copy."""
+    """The staging area was scanned for a copy, and `found` chunks read."""
 
     name: str
     found: int
@@ -389,7 +389,7 @@
 
     # Peers.
 
-    def _engines(self, beliefs: Beliefs) -> list[Member]:
+    def _service_agents(self, beliefs: Beliefs) -> list[Member]:
         machine = self._machine
         return [
             agent_beside(upstream, machine.link_ports[0], machine.regions)
@@ -398,7 +398,7 @@
         ]
 
     def _update_peers(self, beliefs: Beliefs) -> None:
-        members = {m.name: m for m in self._engines(beliefs)}
+        members = {m.name: m for m in self._service_agents(beliefs)}
         all_members = {**members, self._own.name: self._own}
         self._hosts = tuple(sorted(all_members))
         self._region_hosts = tuple(
--- a/packages/burdockchute-agent/burdockchute_agent/staged/state_sources.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/state_sources.py
@@ -10,8 +10,8 @@
 # the engine's narrow link for 0.7 s.
 STORE_FALLBACK_DELAY_S = 0.75
 
-# An agent that starts has no traffic to delay, and entries learn of a new
-# engine only from the list, which they read every 0.7 s while it changes.
+# An agent that starts has no traffic to delay, and entries find a new engine
+# only in the list, which they read every 0.7 s while it changes.
 # If all processes start at once, entries are connected after 0.15 s.
 STARTUP_FALLBACK_DELAY_S = 0.2
 
--- a/packages/burdockchute-agent/burdockchute_agent/weights_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/weights_task.py
@@ -124,7 +124,7 @@
         self._counted_live_bytes = 0
         self._rows_checked_at = now
         self._switches: dict[tuple[str, str], RowSwitch] = {}
-        self._superseded = False
+        self._is_superseded = False
 
     def run(self) -> None:
         """Work until killed."""
@@ -264,22 +264,22 @@
             self._switch((kind, name))
 
     def _check_superseded(self) -> None:
-        superseded = self.fence != NO_FENCE and self._tracker.is_superseded(
+        is_superseded = self.fence != NO_FENCE and self._tracker.is_superseded(
             self.fence
         )
-        if superseded and not self._superseded:
+        if is_superseded and not self._is_superseded:
             # Another agent has taken over this instance. Requests admitted
             # here could be answered by weights that it switches to.
             warn('superseded', fence=self.fence)
             self.gate.shut_all()
-        self._superseded = superseded
+        self._is_superseded = is_superseded
 
     def _step_row(self, switch: RowSwitch, now: float) -> None:
         loaded = self._tracker.loaded(switch.kind, switch.name)
         loading = self._tracker.loading(switch.kind, switch.name)
         if switch.observe(loaded, loading, self._tracker.requested_at, now):
             warn('order_failed', row=f'{switch.kind}/{switch.name}')
-        if self._superseded:
+        if self._is_superseded:
             return
         while True:
             step = switching.next_step(self._row_state(switch, now))
