--- a/packages/burdockchute/tests/decisions/test_fair_queue.py
+++ b/packages/burdockchute/tests/decisions/test_fair_queue.py
@@ -1,4 +1,4 @@
-"""Waiting requests: whose turn is next and who makes room."""
+"""Order of waiting requests and displacement from a full queue."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from hypothesis import stateful
 from hypothesis import strategies as st
 
-from burdockchute.decisions.fair_queue import AGE_S
+from burdockchute.decisions.fair_queue import AGING_INTERVAL_S
 from burdockchute.decisions.fair_queue import FairQueue
 from burdockchute_testing.builders import requests
 
 LIMIT = 6
 
 
-class WaitingTest(unittest.TestCase):
+class FairQueueTest(unittest.TestCase):
     def setUp(self) -> None:
         self.queue = FairQueue(max_waiting=10)
 
@@ -61,8 +61,8 @@
 
     def test_priority_goes_first_and_age_raises_it(self):
         self.offer('low', now=0.0, priority=-1, deadline=1.0)
-        self.offer('high', now=2 * AGE_S, priority=0, deadline=9.0)
-        self.assertEqual(['low', 'high'], self.order(2 * AGE_S))
+        self.offer('high', now=2 * AGING_INTERVAL_S, priority=0, deadline=9.0)
+        self.assertEqual(['low', 'high'], self.order(2 * AGING_INTERVAL_S))
         self.offer('low', now=0.0, priority=-1, deadline=1.0)
         self.offer('high', now=0.0, priority=0, deadline=9.0)
         self.assertEqual(['high', 'low'], self.order(0.0))
@@ -88,7 +88,7 @@
 
 
 class QueueMachine(stateful.RuleBasedStateMachine):
-    """Each request comes out exactly once, and never too many wait."""
+    """Each request comes out exactly once, and the queue stays bounded."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -106,8 +106,8 @@
         cost=st.sampled_from([1.0, 20.0]),
     )
     def offer(self, customer, priority, is_long, deadline, cost):
-        # Ids of its own: those of the builder go on from test to test, so
-        # that their order would depend on what ran before.
+        # Ids are counted here: those of the builder continue from test to
+        # test, so their order would depend on which tests ran before.
         self.count += 1
         ctx = requests.request(
             request_id=f'q{self.count:04}',
@@ -123,11 +123,11 @@
     def pop(self, allow_long):
         item = self.queue.pop(self.now, allow_long)
         if item is None:
-            assert all(not allow_long and lng for _, lng in self.waits())
+            assert all(not allow_long and lng for _, lng in self.waiting())
             return
         priority, is_long = self.inside.pop(item.ctx.request_id)
         assert allow_long or not is_long
-        fit = [p for p, lng in self.waits() if allow_long or not lng]
+        fit = [p for p, lng in self.waiting() if allow_long or not lng]
         assert priority >= max(fit, default=priority)
         self.popped.append(item)
 
@@ -155,7 +155,7 @@
         assert len(self.queue) == len(self.inside) <= LIMIT
         assert (self.queue.work() > 0.5) == bool(self.inside)
 
-    def waits(self):
+    def waiting(self):
         return self.inside.values()
 
 
