--- a/packages/burdockchute/burdockchute/decisions/admission.py
+++ b/packages/burdockchute/burdockchute/decisions/admission.py
@@ -1,19 +1,19 @@
-"""Admission: what is let in at all.
+"""Admission control: which requests are accepted at all.
 
-Load it answers: a customer that sends more than its row allows, and any
-burst that the instances can't work off before the deadlines run out.
+It limits customers that send more than their row allows, and bursts that the
+instances can't work off before the deadlines expire.
 
 Without it, work that is bound to be late is queued, run and thrown away; at
 three times the capacity nearly every answer is then late although the
-instances are busy all the time. Refusing on arrival costs the caller one
-round trip, and it still has the rest of its deadline.
-
-Thresholds: a customer's bucket holds `burst_s` seconds of its limit, from
-its row, so that a form which sends ten requests at once passes and a loop
-does not. A deadline is held against the expected wait and service without a
-margin: the estimate is a mean, and a margin would refuse work that half the
-time would have been done. What turns out too late is refused again when its
-turn comes (`waiting`), before it costs an instance anything.
+instances are busy all the time. Refusing on arrival costs the caller one round
+trip, and it still has the rest of its deadline.
+
+A customer's token bucket holds `burst_s` seconds of its limit, from its row,
+so that a form which sends ten requests at once passes and a loop does not. A
+deadline is compared with the expected wait and service time without a margin:
+the estimate is a mean, and a margin would refuse requests of which half would
+have been done in time. A request that turns out to be too late is refused when
+it leaves the queue (`fair_queue`), before it costs an instance anything.
 """
 
 from __future__ import annotations
@@ -22,23 +22,23 @@
 
 from burdockchute.model.requests import RequestContext
 
-# A prompt's tokens are computed together, generated ones each by itself; on
-# the engines that the users run one generated token takes as long as about
-# twenty of a prompt.
+# The tokens of a prompt are computed together, generated ones one by one: on
+# the engines in use, one generated token takes as long as about twenty prompt
+# tokens.
 PROMPT_WEIGHT = 0.05
 
-# A weight of its own for each request, so that requests without tokens
-# (plain services) count as well.
+# Constant cost of a request, so that requests without tokens (plain services)
+# count as well.
 REQUEST_WEIGHT = 1.0
 
-# Shortest and longest time that a refused caller is told to stay away: less
-# would be a busy loop, more than a minute outlasts most bursts.
+# Bounds of the delay that a refused caller is told: less would be a busy loop,
+# and most bursts end within a minute.
 MIN_RETRY_AFTER_S = 0.1
 MAX_RETRY_AFTER_S = 60.0
 
 
 class RateLimit(NamedTuple):
-    """A limit per second and how many seconds of it may come at once."""
+    """A limit per second, and how many seconds of it may come at once."""
 
     requests_per_s: float
     tokens_per_s: float
@@ -54,7 +54,7 @@
 
 
 def full_bucket(rate: RateLimit, now: float) -> Bucket:
-    """Give the bucket of a customer that has sent nothing lately."""
+    """Return the bucket of a customer that has sent nothing recently."""
     requests, tokens = _capacity(rate)
     return Bucket(requests, tokens, now)
 
@@ -62,10 +62,10 @@
 def take(
     bucket: Bucket, rate: RateLimit, tokens: int, now: float
 ) -> tuple[Bucket, float]:
-    """Take one request of so many tokens out of a bucket.
+    """Take one request with its tokens out of a bucket.
 
-    Gives the bucket after it and 0.0, or the bucket unchanged but for time
-    and the seconds until the request would pass.
+    Return the new bucket and 0.0, or the bucket refilled to `now` and the
+    seconds until the request would pass.
 
     >>> rate = RateLimit(requests_per_s=1, tokens_per_s=100, burst_s=2)
     >>> bucket, wait_s = take(full_bucket(rate, 0.0), rate, 50, 0.0)
@@ -74,8 +74,8 @@
     """
     filled = _fill(bucket, rate, now)
     capacity = _capacity(rate)
-    # One request may be larger than the whole bucket. It passes when the
-    # bucket is full, and the debt keeps the next one out for longer.
+    # A request may be larger than the whole bucket. It passes when the bucket
+    # is full, and the negative level delays the next one.
     wanted_tokens = min(float(tokens), capacity[1])
     wait_s = max(
         _seconds_until(1.0, filled.requests, rate.requests_per_s),
@@ -88,30 +88,30 @@
 
 
 def cost_of(ctx: RequestContext) -> float:
-    """Give the work of a request, in generated tokens."""
+    """Return the work of a request, in generated tokens."""
     return REQUEST_WEIGHT + ctx.max_tokens + PROMPT_WEIGHT * ctx.prompt_tokens
 
 
 def tokens_of(ctx: RequestContext) -> int:
-    """Give the tokens that count against a customer's limit."""
+    """Return the tokens that count against a customer's limit."""
     return ctx.prompt_tokens + ctx.max_tokens
 
 
 def is_too_late(
     ctx: RequestContext, wait_s: float, service_s: float, now: float
 ) -> bool:
-    """Tell whether a request can't be done by its deadline."""
+    """Whether a request can't be completed by its deadline."""
     return now + wait_s + service_s > ctx.deadline
 
 
 def retry_after_s(seconds: float) -> float:
-    """Give the time to tell a refused caller, within sensible bounds."""
+    """Return the delay to tell a refused caller, within bounds."""
     return min(max(seconds, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
 
 
 def _capacity(rate: RateLimit) -> tuple[float, float]:
-    # At least one whole request, or a customer with a small limit could
-    # never send any.
+    # At least one request, or a customer with a small limit could never send
+    # any.
     return (
         max(1.0, rate.requests_per_s * rate.burst_s),
         max(1.0, rate.tokens_per_s * rate.burst_s),
--- a/packages/burdockchute/tests/decisions/test_admission.py
+++ b/packages/burdockchute/tests/decisions/test_admission.py
@@ -1,4 +1,4 @@
-"""Limits of customers and the budget of retries."""
+"""Limits of customers and the retry budget."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
                 taken += 1
                 tokens_taken += tokens
         self.assertLessEqual(taken, 2 * (now + 3) + 1e-6)
-        # One request may exceed the bucket, and then stands as debt.
+        # One request may exceed the bucket and leave a negative level.
         self.assertLessEqual(tokens_taken, 100 * (now + 3) + 400 + 1e-6)
 
-    def test_told_wait_is_enough(self):
+    def test_reported_wait_is_enough(self):
         rate = RateLimit(requests_per_s=2, tokens_per_s=100, burst_s=1)
         bucket = admission.full_bucket(rate, 0.0)
         bucket, _wait_s = admission.take(bucket, rate, 100, 0.0)
@@ -44,8 +44,8 @@
         self.assertEqual(0.0, again_s)
 
     def test_request_larger_than_the_bucket_passes_a_full_one(self):
-        # A book of pages may cost more than the customer's burst. It must
-        # not be refused for ever.
+        # A single large prompt, such as a book, may cost more than the burst
+        # of the customer. It must not be refused forever.
         rate = RateLimit(requests_per_s=2, tokens_per_s=100, burst_s=1)
         bucket = admission.full_bucket(rate, 0.0)
         bucket, wait_s = admission.take(bucket, rate, 1000, 0.0)
@@ -53,7 +53,7 @@
         _bucket, wait_s = admission.take(bucket, rate, 1, 0.0)
         self.assertAlmostEqual(9.01, wait_s)
 
-    def test_retries_stay_within_their_part(self):
+    def test_retries_stay_within_their_share(self):
         budget = retries.full_budget(0.0)
         allowed = 0
         for number in range(5000):
@@ -63,7 +63,7 @@
             allowed += may
         self.assertLessEqual(allowed, 0.1 * 5000)
 
-    def test_budget_comes_back_without_traffic(self):
+    def test_budget_refills_without_traffic(self):
         budget = retries.Budget(0.0, 0.0)
         self.assertFalse(retries.spend(budget, 1.0)[1])
         self.assertTrue(
