--- a/packages/burdockchute/tests/decisions/test_limits.py
+++ b/packages/burdockchute/tests/decisions/test_limits.py
@@ -1,4 +1,4 @@
-"""How the entries share a customer's limit."""
+"""How the entries divide a customer's limit."""
 
 from __future__ import annotations
 
@@ -28,21 +28,21 @@
 
     @settings(derandomize=True, deadline=None)
     @given(limit=st.floats(0, 1e6), demands=DEMANDS)
-    def test_modest_demand_is_met_whole(self, limit, demands):
+    def test_demand_below_an_even_part_is_met_fully(self, limit, demands):
         parts = limits.divide(limit, demands, len(demands))
         even = limit / len(demands)
         for entry, demand in demands.items():
             if demand <= even:
                 self.assertGreaterEqual(parts[entry], demand - 1e-6)
 
-    def test_entries_without_demand_leave_their_part(self):
+    def test_parts_of_entries_without_demand_are_reassigned(self):
         self.assertEqual(
             {'a': 10.0}, limits.divide(10.0, {'a': 50.0}, entries=4)
         )
 
-    def test_share_without_news_fades_to_an_even_part(self):
-        # Two regions lose each other. The shares that one side was given
-        # must not stay in force there for the whole hour.
+    def test_share_that_is_not_renewed_fades_to_an_even_part(self):
+        # Two regions lose contact for an hour. The shares that one side was
+        # assigned must not stay in force there all that time.
         share = Share(9.0, 900.0, 100.0)
         rates = [
             limits.rate_at(LIMIT, share, 5, 100.0 + age).requests_per_s
