--- a/packages/burdockchute/burdockchute/decisions/returning_callers.py
+++ b/packages/burdockchute/burdockchute/decisions/returning_callers.py
@@ -1,36 +1,37 @@
-"""Which callers have been sent away before, by the time that they name.
+"""Which callers were refused before, judged by the time that they have left.
 
-Load: refused callers return as told, with less time left and past their
-objective; one that waits among the new ones would take their places. But
-callers differ in patience as well, on some sites by a sixth of their time, so
-only who has clearly less left than others of its route has been here before.
+Refused callers retry as told, with less time left and past their objective. If
+one of them waited among the new requests, it would take their slots. But the
+deadlines of callers differ as well, on some sites by a sixth, so only a caller
+with clearly less time left than others of its route counts as returning.
 """
 
 from __future__ import annotations
 
-# Callers of one route begin with times that differ by less than this part.
-PATIENCE_SPREAD = 0.2
+# Deadlines of callers of one route differ by less than this share.
+DEADLINE_SPREAD = 0.2
 
-# The way of the refusal and of the return are not counted.
-MARGIN = 0.01
+# Share for the transit of the refusal and of the retry.
+TRANSIT_MARGIN = 0.01
 
 
 def elapsed_s(longest_s: float, left_s: float) -> float:
     """Estimate what a caller has spent on a request before, in seconds.
 
-    `longest_s` is the most time that any caller of its route has named.
+    `longest_s` is the longest time left that any caller of its route has
+    named.
 
     >>> elapsed_s(6.0, 5.0), elapsed_s(6.0, 4.5)
     (0.0, 1.5)
     """
-    spent = longest_s - left_s
-    return spent if spent > PATIENCE_SPREAD * longest_s else 0.0
+    elapsed = longest_s - left_s
+    return elapsed if elapsed > DEADLINE_SPREAD * longest_s else 0.0
 
 
 def min_return_delay_s(left_s: float) -> float:
-    """Give after which time a caller that returns is known as such.
+    """Return the shortest delay after which a retry is recognised as one.
 
     >>> min_return_delay_s(6.0)
     1.26
     """
-    return (PATIENCE_SPREAD + MARGIN) * left_s
+    return (DEADLINE_SPREAD + TRANSIT_MARGIN) * left_s
