--- a/packages/burdockchute/tests/decisions/test_health.py
+++ b/packages/burdockchute/tests/decisions/test_health.py
@@ -1,4 +1,4 @@
-"""Upstreams that are left alone after a failure."""
+"""Upstreams that are blocked after a failure."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class HealthTest(unittest.TestCase):
-    def test_one_failure_is_a_short_pause(self):
+    def test_one_failure_blocks_for_a_short_time(self):
         failed = health.after_failure(Health(), 10.0)
         self.assertFalse(health.is_usable(failed, 10.1))
         self.assertTrue(health.is_usable(failed, 10.2))
 
     def test_a_crash_that_breaks_many_connections_counts_once(self):
-        """An engine dies with sixteen streams on it.
+        """An engine crashes with sixteen streams on it.
 
-        Counted each, the block would be the longest at once, and an engine
-        that is back in a second would stay without work.
+        If each counted, the block would be the longest at once, and an engine
+        that is back within a second would get no work.
         """
         state = Health()
         for _stream in range(16):
@@ -33,7 +33,7 @@
             now = state.blocked_until
         self.assertEqual([0.2, 0.4, 0.8, 1.6, 1.6], blocks)
 
-    def test_silence_counts_from_the_last_byte_or_the_sending(self):
+    def test_silence_counts_from_the_last_byte_or_the_request(self):
         self.assertFalse(health.is_silent(0.0, 10.0, 11.1))
         self.assertFalse(health.is_silent(10.5, 0.0, 11.6))
         self.assertTrue(health.is_silent(10.0, 10.0, 11.3))
