--- a/packages/burdockchute/burdockchute/decisions/routing.py
+++ b/packages/burdockchute/burdockchute/decisions/routing.py
@@ -1,12 +1,12 @@
-"""Routing: which route a request takes and which service answers it.
+"""Which route a request takes and which service answers it.
 
-Of the routes of a host the longest prefix that begins the path wins. The
-routes are looked up by cutting the path at its slashes, from the longest
+Of the routes of a host, the one with the longest prefix of the path wins.
+Routes are looked up by cutting the path at its slashes, from the longest
 prefix down, so that the cost grows with the depth of a path and not with the
 number of routes, of which operators add hundreds at once.
 
-A split between services goes by a hash of the request's id, so that it needs
-no state and no agreement, and holds also over few requests.
+A split between services uses a hash of the request id, so that it needs no
+state and no agreement between entries, and holds even over few requests.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 from burdockchute.model.routes import Service
 from burdockchute.model.routes import Share
 
-_HASHES = 2**32
+_HASH_RANGE = 2**32
 
 
 class RouteTable(NamedTuple):
-    """A configuration made ready for look-ups."""
+    """A configuration indexed for look-ups."""
 
     configuration: Configuration
     routes: Mapping[tuple[str, str], Route]
@@ -35,7 +35,7 @@
 
 
 def route_table(configuration: Configuration) -> RouteTable:
-    """Prepare a configuration; done once for each version of it."""
+    """Index a configuration; done once for each version of it."""
     holders = configuration.keyholders
     return RouteTable(
         configuration,
@@ -48,9 +48,9 @@
 
 
 def find_route(table: RouteTable, host: str, path: str) -> Route | None:
-    """Give the route of a host with the longest prefix of a path.
+    """Return the route of a host with the longest prefix of a path.
 
-    `path` is without its query; every prefix begins and ends with a slash.
+    `path` has no query string; every prefix starts and ends with a slash.
     """
     end = len(path)
     while True:
@@ -63,7 +63,7 @@
 
 
 def choose_service(shares: Sequence[Share], request_id: str) -> str | None:
-    """Give the service for a request, None where no share has any weight.
+    """Return the service for a request, None where no share has any weight.
 
     >>> choose_service([Share('old', 0), Share('new', 3)], 'r-1')
     'new'
@@ -71,7 +71,7 @@
     total = sum(max(0.0, share.weight) for share in shares)
     if total <= 0:
         return None
-    point = zlib.crc32(request_id.encode()) / _HASHES * total
+    point = zlib.crc32(request_id.encode()) / _HASH_RANGE * total
     for share in shares:
         point -= max(0.0, share.weight)
         if point < 0:
--- a/packages/burdockchute/tests/decisions/test_routing.py
+++ b/packages/burdockchute/tests/decisions/test_routing.py
@@ -77,5 +77,5 @@
         self.assertEqual({'old', 'new'}, set(counts))
         self.assertTrue(900 <= counts['new'] <= 1100, counts)
 
-    def test_a_split_without_weight_leads_nowhere(self):
+    def test_a_split_without_weight_selects_no_service(self):
         self.assertIsNone(routing.choose_service((Share('old', 0),), 'r'))
