--- a/packages/burdockchute/burdockchute/decisions/hosting.py
+++ b/packages/burdockchute/burdockchute/decisions/hosting.py
@@ -1,11 +1,11 @@
-"""Which rows an instance hosts.
-
-Load: rows name pools, zones, regions or instances, and may limit how many of
-the matching instances serve them; instances come and go all day. Without one
-rule that every process computes alike, entries would send requests to
-instances that hold other weights, or two agents would each think that the
-other hosts a row. The choice is a rendezvous hash over row and instance, so
-that one instance that goes moves only its own rows.
+"""Which rows of the table an instance hosts.
+
+Rows name pools, zones, regions or instances, and may limit how many of the
+matching instances host them; instances join and leave all day. Every process
+has to compute the same hosts: otherwise entries would send requests to
+instances that hold other weights, or two agents would each assume that the
+other one hosts a row. The choice is a rendezvous hash of row and instance, so
+that an instance that leaves moves only its own rows.
 """
 
 from __future__ import annotations
@@ -27,20 +27,20 @@
 
 
 def score(key: str, name: str) -> bytes:
-    """Give the rendezvous score of a name under a key; the lowest wins."""
+    """Return the rendezvous score of a name under a key; the lowest wins."""
     return blake3.blake3(f'{key}\0{name}'.encode()).digest(8)
 
 
 def ranked(key: str, names: Iterable[str]) -> list[str]:
-    """Give the names in their order under a key, the same everywhere.
+    """Return the names in rendezvous order under a key, the same everywhere.
 
-    Taking a name away leaves the order of the others as it was.
+    Removing a name leaves the order of the others unchanged.
     """
     return sorted(names, key=lambda name: (score(key, name), name))
 
 
 def matches(placement: str, name: str, place: Place) -> bool:
-    """Tell whether an instance matches a placement.
+    """Whether an instance matches a placement.
 
     >>> matches('zone:z-1,zone:z-2', 'a', Place('z-1', 'north', 'p'))
     True
@@ -56,22 +56,22 @@
         'region': place.region,
         'instance': name,
     }
-    wanted: dict[str, set[str]] = {}
+    allowed: dict[str, set[str]] = {}
     for term in terms:
-        sort, _, value = term.partition(':')
-        wanted.setdefault(sort, set()).add(value)
-    if not wanted:
+        kind, _, value = term.partition(':')
+        allowed.setdefault(kind, set()).add(value)
+    if not allowed:
         return False
-    return all(own.get(sort) in values for sort, values in wanted.items())
+    return all(own.get(kind) in values for kind, values in allowed.items())
 
 
 def hosts(
     row: ModelRow | ServiceRow, members: Sequence[Member]
 ) -> tuple[str, ...]:
-    """Give the names of the agents that host a row.
+    """Return the names of the agents that host a row.
 
-    Members that leave don't count against `replicas`, so that a successor
-    copies the weights while the leaver still serves.
+    Members that are leaving don't count towards `replicas`, so that a
+    successor copies the weights while the leaving member still serves.
     """
     names = [
         member.name
@@ -89,8 +89,8 @@
 def hosted_models(
     table: Table, members: Sequence[Member], own: Member
 ) -> list[ModelRow]:
-    """Give the model rows that an instance hosts, by name."""
-    known = _with_own(members, own)
+    """Return the model rows that an instance hosts, by name."""
+    known = _including_own(members, own)
     return [
         row
         for _name, row in sorted(models(table).items())
@@ -101,7 +101,7 @@
 def hosted_adapters(
     table: Table, members: Sequence[Member], own: Member
 ) -> list[AdapterRow]:
-    """Give the adapter rows that an instance hosts: those of its models."""
+    """Return the adapter rows that an instance hosts: those of its models."""
     bases = {row.name for row in hosted_models(table, members, own)}
     return [
         row
@@ -113,8 +113,8 @@
 def hosted_services(
     table: Table, members: Sequence[Member], own: Member
 ) -> list[ServiceRow]:
-    """Give the service rows that an instance hosts, by name."""
-    known = _with_own(members, own)
+    """Return the service rows that an instance hosts, by name."""
+    known = _including_own(members, own)
     return [
         row
         for _name, row in sorted(services(table).items())
@@ -122,8 +122,9 @@
     ]
 
 
-def _with_own(members: Sequence[Member], own: Member) -> list[Member]:
-    # The platform's list lags, so an instance may not be on it yet; it knows
-    # of itself. One that leaves keeps what it has until it has ended.
+def _including_own(members: Sequence[Member], own: Member) -> list[Member]:
+    # The platform's list lags, so an instance may not be on it yet; it always
+    # knows itself. An instance that is leaving keeps its rows until it has
+    # stopped.
     others = [member for member in members if member.name != own.name]
     return [*others, own._replace(leaving=False)]
--- a/packages/burdockchute/tests/decisions/test_hosting.py
+++ b/packages/burdockchute/tests/decisions/test_hosting.py
@@ -28,7 +28,7 @@
 
 
 class HostingTest(unittest.TestCase):
-    def test_placement_matches_one_term_of_each_sort(self):
+    def test_placement_matches_one_term_of_each_kind(self):
         place = Place('z1', 'r1', 'p1')
         cases = {
             '*': True,
@@ -53,7 +53,7 @@
             20, len(hosting.hosts(row._replace(replicas=0), MEMBERS))
         )
 
-    def test_one_that_goes_moves_only_its_own_row(self):
+    def test_an_instance_that_leaves_moves_only_its_own_row(self):
         row = ModelRow('story', 'v1', 'd', replicas=5)
         before = set(hosting.hosts(row, MEMBERS))
         gone = sorted(before)[0]
@@ -62,7 +62,7 @@
         self.assertEqual(before - {gone}, after & before)
         self.assertEqual(5, len(after))
 
-    def test_successor_copies_while_the_leaver_serves(self):
+    def test_successor_copies_while_the_leaving_instance_serves(self):
         row = ModelRow('story', 'v1', 'd', replicas=1)
         (name,) = hosting.hosts(row, MEMBERS)
         leaving = [m._replace(leaving=m.name == name) for m in MEMBERS]
@@ -72,7 +72,7 @@
             [row], hosting.hosted_models(table(row), leaving, own)
         )
 
-    def test_adapter_lives_where_its_base_lives(self):
+    def test_adapter_is_hosted_with_its_base(self):
         model = ModelRow('story', 'v1', 'd', placement='instance:a1')
         adapter = AdapterRow('rhymes', 'v1', 'e', 'story')
         orphan = AdapterRow('verses', 'v1', 'f', 'gone')
@@ -84,7 +84,7 @@
             [], hosting.hosted_adapters(rows, MEMBERS, MEMBERS[2])
         )
 
-    def test_instance_that_the_list_lacks_still_hosts(self):
+    def test_instance_that_is_not_listed_yet_still_hosts(self):
         row = ServiceRow('proofs', 'pool:fresh')
         own = member('fresh-1', pool='fresh')
         self.assertEqual(
