--- a/packages/burdockchute-agent/burdockchute_agent/chunk_receiver.py
+++ b/packages/burdockchute-agent/burdockchute_agent/chunk_receiver.py
@@ -176,8 +176,9 @@
             count=count,
         )
         if self._corruption.is_banned(peer):
-            # A peer that corrupts what it sends may claim to hold every
-            # chunk. It would be asked again and again, and slow the copy.
+            # A peer that corrupts what it sends claims to hold every chunk.
+            # Chunks would be requested from it over and over, and the copy
+            # would make little progress.
             warn('peer_banned', peer=peer.name)
             for copier in self._copiers.values():
                 copier.peer_disconnected(peer.name)
--- a/packages/burdockchute-agent/burdockchute_agent/chunk_requests.py
+++ b/packages/burdockchute-agent/burdockchute_agent/chunk_requests.py
@@ -18,7 +18,7 @@
 
     `held` is a bitmap of chunks, `load` the length of the peer's upload
     queue, `pending_requests` the number of our requests that it has not
-    answered. A peer is asked nothing before `avoid_until` (monotonic
+    answered. No request goes to the peer before `avoid_until` (monotonic
     seconds).
     """
 
--- a/packages/burdockchute-agent/burdockchute_agent/copier.py
+++ b/packages/burdockchute-agent/burdockchute_agent/copier.py
@@ -123,7 +123,7 @@
         self._readable_since: dict[int, float] = {}
         self._latency_s = 0.0
 
-    # What arrives.
+    # Received data and failures.
 
     def manifest_received(self, manifest: Manifest, now: float) -> None:
         """Take a manifest that has been verified against the digest."""
@@ -237,7 +237,7 @@
         self._readable_since.clear()
         self.schedule.read_failed(now)
 
-    # What to do.
+    # Progress and planning.
 
     @property
     def complete(self) -> bool:
--- a/packages/burdockchute-agent/burdockchute_agent/copy_manager.py
+++ b/packages/burdockchute-agent/burdockchute_agent/copy_manager.py
@@ -263,7 +263,7 @@
         count = len(copy.manifest.chunks)
         return [index for index in range(count) if not copy.holds(index)]
 
-    # What arrives.
+    # Messages and links.
 
     def handle(self, message: object, now: float) -> None:
         """Handle a message about copies or peers."""
@@ -301,7 +301,7 @@
             for copier in self._copiers.values():
                 copier.peer_disconnected(name)
 
-    # What to do.
+    # Work that is due.
 
     def tick(self, now: float) -> float:
         """Send the requests, chunks and announcements that are due.
--- a/packages/burdockchute-agent/tests/test_chunk_sender.py
+++ b/packages/burdockchute-agent/tests/test_chunk_sender.py
@@ -54,7 +54,7 @@
             paced=True,
         )
 
-    def ask(self, name, *indexes):
+    def request_chunks(self, name, *indexes):
         for index in indexes:
             request = messages.ChunkRequest('d', index)
             self.sender.handle_request(self.peers[name], request)
@@ -64,7 +64,7 @@
 
         An agent that retried at once used a whole core.
         """
-        self.ask('a', 0, 1, 2)
+        self.request_chunks('a', 0, 1, 2)
         self.assertIsNone(self.sender.send_due(1.0))
         self.assertLess(len(self.peers['a'].sent), 3)
         self.assertIsNone(self.sender.send_due(1.1))
@@ -73,7 +73,7 @@
         for name in ('a', 'b'):
             self.peers[name].link.queued_bytes = MAX_PACED_QUEUE_BYTES
             self.peers[name].link.slow = True
-        self.ask('c', 0)
+        self.request_chunks('c', 0)
         self.sender.send_due(1.0)
         self.assertEqual([0], [chunk.index for chunk in self.peers['c'].sent])
 
