--- a/packages/burdockchute-entry/burdockchute_entry/straight/agents_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/agents_task.py
@@ -1,7 +1,7 @@
-"""Links to the agents beside the engines, which report their load.
+"""Links to the agents of the engines, which report their load.
 
-An engine's load is known to the agent beside it at once and for nothing; an
-entry that asked each engine itself would pay for every look.
+The agent beside an engine knows its load immediately and at no cost. An
+entry that polled each engine itself would pay for every request.
 """
 
 from __future__ import annotations
@@ -36,22 +36,23 @@
 from burdockchute.nodes.wishes_news import news_of
 from burdockchute.wire import messages
 
-# How often lost links are looked at; a redial waits longer than this.
+# Interval between checks for lost links; redials wait longer than this.
 TICK_S = 0.25
 
-# News is told to so many agents, each of which tells its other entries: one
-# of them may be paused or gone.
+# Number of agents that get a crash or slow-link message to relay. Each agent
+# relays it to its other entries; one of the agents may be paused or gone.
 RELAY_AGENTS = 3
 
-# Agents hear of a save that changes nothing for them this often at most, so
-# that an entry that starts learns of it from them.
+# Minimum interval between messages about a saved configuration that changes
+# nothing for the agents. They get it nevertheless, so that an entry that
+# starts learns its version from them.
 SAVES_PERIOD_S = 1.0
 
 OnLoadReport = Callable[[str, messages.LoadReport], None]
 
 
 def agents_by_address(beliefs: Beliefs, link_port: int) -> dict[str, Member]:
-    """Give the agents of all engines, by the engine's address."""
+    """Return the agents of all engines, by the engine's address."""
     if beliefs.routes is None:
         return {}
     services = beliefs.routes.services
@@ -66,7 +67,7 @@
 
 
 class _LastSent(NamedTuple):
-    """What an agent was told last."""
+    """The desired state that was last sent to an agent."""
 
     histories: Mapping[str, History]
     needs: Needs | None
@@ -74,13 +75,16 @@
 
 
 class AgentsTask:
-    """Keeps a link to each agent; `on_load_report` gets what they report.
+    """Keeps a link to each agent and passes on what they send.
 
-    Entries have no links to each other, so agents hand on which requests were
-    in flight in a crash; `on_crash` gets those of other entries.
+    `on_load_report` gets their load reports.
 
-    Agents are told what operators want, and whether the store answers this
-    entry (`in_contact`): one that it does not answer knows nothing new.
+    Entries have no links to each other, so agents relay which requests were
+    in flight when an upstream crashed. `on_crash` gets those of other
+    entries.
+
+    Agents are sent the desired state, and whether the store answers this
+    entry (`in_contact`); without contact, the entry can't learn of changes.
     """
 
     def __init__(
@@ -110,7 +114,7 @@
         self._saves_sent_at = 0.0
 
     def run(self) -> None:
-        """Take messages for ever."""
+        """Process messages forever."""
         tasks.take_messages(
             self.inbox, self._handle, self._on_timer, TICK_S, time.monotonic
         )
@@ -182,11 +186,12 @@
     def _send_desired_state(
         self, peer: PeerLink, for_save: bool = False
     ) -> None:
-        # An agent of whose engine the list says nothing keeps what it knows;
-        # told of no service, it would take its models for withdrawn.
+        # An agent whose engine is not in the upstream list keeps its known
+        # requirements. If it were sent none, it would treat its models as
+        # withdrawn.
         service = self._services.get(peer.name)
         needs = self._beliefs.needs(service) if service else None
-        # Most saves change nothing for agents; those aren't told of.
+        # Most saved configurations change nothing for agents and aren't sent.
         last_sent = _LastSent(
             self._beliefs.histories,
             needs._replace(configuration=0) if needs else None,
