--- a/packages/burdockchute-entry/burdockchute_entry/straight/app.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/app.py
@@ -1,4 +1,4 @@
-"""Wiring of an entry that sends requests to upstreams itself."""
+"""Wiring of an entry that sends requests to upstreams without agents."""
 
 from __future__ import annotations
 
@@ -38,33 +38,36 @@
 from burdockchute_entry.straight.scheduler import Scheduler
 from burdockchute_entry.straight.sending import Dependencies
 
-# How the list of upstreams is read. An upstream that leaves must get nothing
-# new after two seconds, of which reading and sending take a part; so a change
-# is told at once, and what follows it within this time.
+# Pause between a read of the upstream list that returned changes and the next
+# read. An upstream that shuts down must get no new requests after two seconds,
+# and reading and sending take a part of that. So a change is delivered at
+# once, and the ones after it within this time.
 UPSTREAMS_PERIOD_S = 0.7
 
-# How often queues are looked at although nothing came: an upstream that was
-# left alone for a while is tried again.
+# Interval at which waiting requests are assigned even without an event, since
+# an upstream may become usable again some time after a failure.
 ASSIGN_INTERVAL_S = 0.1
 
-# Configurations may be saved many times a second, and each is long; what is
-# saved within this time is read together.
+# Pause between a read of the desired state that returned changes and the next
+# read. Configurations are long and may be saved many times a second; those
+# saved within this time are read together.
 DESIRED_STATE_PERIOD_S = 0.3
 
-# The balancer looks once a second and takes an entry out after two misses.
-# Until then it still sends callers, who are served; a zone of which it has
-# taken out too many sends them on. These are refused, as a long answer
-# would be cut off by the end.
+# Time for which an entry that shuts down still accepts requests. The load
+# balancer checks once a second and removes an entry after two failed checks.
+# Until then it still sends requests, which are served. It keeps sending them
+# if it has removed too many entries of a zone. Those later requests are
+# refused, as the end of the process would cut off a long answer.
 STILL_ACCEPTING_S = 2.4
 
-# Kept of the grace time for the end itself.
+# Part of the grace period that is reserved for the exit itself.
 SHUTDOWN_RESERVE_S = 0.7
 
 POLL_S = 0.02
 
 
 class StraightApp:
-    """One running entry."""
+    """A running entry."""
 
     def __init__(
         self, cfg: SiteSettings, machine: Machine, adapter: Adapter
@@ -121,11 +124,11 @@
         )
 
     def beliefs(self) -> Beliefs:
-        """Give what is believed now."""
+        """Return the known state of the platform."""
         return self.follower.beliefs
 
     def serve(self) -> int:
-        """Run until a signal asks to stop; give the exit status."""
+        """Run until a signal stops the process; returns the exit status."""
         machine = self._machine
         assert machine.callers is not None and machine.probes is not None
         self.lifetime.begin(self._reload)
@@ -175,7 +178,7 @@
         return routes.configuration.version if routes else None
 
     def status(self) -> dict[str, Any]:
-        """Give what this process holds and does."""
+        """Return the status document of this process."""
         beliefs = self.beliefs()
         return {
             **self.lifetime.status(),
--- a/packages/burdockchute-entry/burdockchute_entry/straight/callers.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/callers.py
@@ -1,4 +1,4 @@
-"""Callers of an entry that sends requests to upstreams itself (WSGI)."""
+"""WSGI application of an entry that sends requests to upstreams."""
 
 from __future__ import annotations
 
@@ -39,19 +39,19 @@
 from burdockchute_entry.straight.replies import StreamBroken
 from burdockchute_entry.straight.sending import Dependencies
 
-# A caller that comes before the first configuration is told to come back
-# when one is usually there.
+# Retry-After before the first configuration has been read; there usually is
+# one after this time.
 NOT_READY_RETRY_S = 1.0
 
-# Another entry takes the request that this one refuses as it leaves.
+# Retry-After of a request refused during shutdown; another entry accepts it.
 SHUTDOWN_RETRY_S = 0.05
 
-# A request that names no time has this long at most; routes say less.
+# Time limit of a request that has none itself; routes set shorter ones.
 DEFAULT_TIMEOUT_S = 30.0
 
 
 class AdmittedRequest(NamedTuple):
-    """A request that may be served: its route, service and context."""
+    """An accepted request with its route, service and context."""
 
     inbound: Asked
     route: Route
@@ -61,10 +61,10 @@
 
 
 class ShutdownState(NamedTuple):
-    """Whether this entry leaves, and whether it takes requests all the same.
+    """Whether this entry shuts down, and whether it still accepts requests.
 
-    Callers whose requests it still takes are told to come on another
-    connection next time.
+    Callers of requests that it still accepts are told to use another
+    connection for the next one.
     """
 
     shutting_down: bool
@@ -72,7 +72,7 @@
 
 
 class RouteMatch(NamedTuple):
-    """Where a request goes, for whom; priority 0 is the most urgent."""
+    """The route, service and customer of a request; priority 0 is highest."""
 
     route: Route
     service: str
@@ -81,9 +81,9 @@
 
 
 class Refusal(NamedTuple):
-    """A request that goes no further, with the status that says why.
+    """A request that is refused before it is scheduled.
 
-    `request_id` is empty where none could be read.
+    `request_id` is empty if none could be read.
     """
 
     status: int
@@ -93,9 +93,9 @@
 
 
 class FinishedRequest(NamedTuple):
-    """How a request ended, for counters; times are seconds.
+    """How a request ended, for metrics; times are in seconds.
 
-    `interruptions` has why attempts at a stream ended early.
+    `interruptions` has the causes why attempts at a stream ended early.
     """
 
     route: str
@@ -109,7 +109,8 @@
 class CallersApp:
     """The WSGI application.
 
-    `open_requests` counts those under way, up to the last byte written.
+    `open_requests` counts requests until the last byte of their answer is
+    written.
     """
 
     def __init__(
@@ -163,25 +164,25 @@
         beliefs = self._beliefs()
         if beliefs.routes is None or not beliefs.complete:
             return Refusal(503, 'no configuration yet', NOT_READY_RETRY_S)
-        routed = _match_route(beliefs.routes, inbound)
-        if isinstance(routed, Refusal):
-            return routed
+        route_match = _match_route(beliefs.routes, inbound)
+        if isinstance(route_match, Refusal):
+            return route_match
         limits = beliefs.routes.configuration.limits
         body = http.read_body(
             environ, http.Limits(max_body_bytes=limits.max_body_bytes)
         )
         if isinstance(body, Rejection):
             return Refusal(body.status, body.findings[0].text)
-        elapsed_s = self._elapsed_s(routed.route, inbound)
+        elapsed_s = self._elapsed_s(route_match.route, inbound)
         return _make_admitted(
-            inbound._replace(body=body), routed, arrived, elapsed_s
+            inbound._replace(body=body), route_match, arrived, elapsed_s
         )
 
     def _elapsed_s(self, route: Route, inbound: Asked) -> float:
-        """Estimate what a caller has spent on the request before.
+        """Estimate the seconds the caller spent on earlier attempts.
 
-        Callers name the time that they have left; one that names much less
-        than others of its route comes back.
+        Callers send the time that they have left. One that sends much less
+        than others on its route has tried before.
         """
         if inbound.time_left_s is None:
             return 0.0
@@ -194,7 +195,7 @@
         )
 
     def exchange(self, admitted: AdmittedRequest) -> Exchange:
-        """Begin the exchange of an admitted request."""
+        """Create the exchange of an admitted request."""
         return Exchange(
             self._deps,
             admitted.inbound,
@@ -246,7 +247,7 @@
         )
 
     def connection_headers(self) -> list[tuple[str, str]]:
-        """Give what a caller is told about its connection."""
+        """Return the headers about the caller's connection."""
         return (
             [('Connection', 'close')]
             if self._shutdown_state().shutting_down
@@ -283,7 +284,7 @@
 
 
 class _RequestHandler:
-    """The answer to one admitted request."""
+    """Handles one admitted request and writes its answer."""
 
     def __init__(
         self,
@@ -384,9 +385,9 @@
 
 
 def _make_admitted(
-    inbound: Asked, routed: RouteMatch, arrived: float, elapsed_s: float
+    inbound: Asked, route_match: RouteMatch, arrived: float, elapsed_s: float
 ) -> AdmittedRequest:
-    route, service, customer, priority = routed
+    route, service, customer, priority = route_match
     left_s = min(inbound.time_left_s or DEFAULT_TIMEOUT_S, route.timeout_s)
     ctx = RequestContext(
         request_id=inbound.id,
