--- a/packages/burdockchute-entry/tests/test_agents_task.py
+++ b/packages/burdockchute-entry/tests/test_agents_task.py
@@ -1,4 +1,4 @@
-"""What an entry tells the agents that it is linked to."""
+"""Messages between an entry and the agents it is linked to."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def named(link):
-    """Give the versions that each message on a link has told of."""
+    """Return the named versions in each message sent on a link."""
     return [
         [(i.model, i.version, i.age_ms >= 0) for i in message.named]
         for message in link.sent
@@ -42,25 +42,25 @@
 
 
 class AgentsTaskTest(unittest.TestCase):
-    """An agent reads the wishes seldom, and has to know of versions soon."""
+    """Agents read the desired state seldom but need new versions soon."""
 
     def setUp(self):
         self.in_contact = True
-        self.learned = []
-        self.heard = []
+        self.crashes = []
+        self.link_events = []
         self.beliefs = Beliefs()
         self.task = AgentsTask(
             OWN,
             lambda: None,
             1,
             lambda address, report: None,
-            self.learned.append,
+            self.crashes.append,
             lambda: self.in_contact,
             random.Random(1),
-            self.heard.append,
+            self.link_events.append,
         )
 
-    def believe(self, *named):
+    def update(self, *named):
         history = versions.History()
         for version, at in named:
             history = versions.add_version(history, version, at)
@@ -72,53 +72,55 @@
         self.task._handle(links.Opened(link))
         return link
 
-    def test_a_new_link_is_told_what_is_known(self):
-        self.believe((2, None), (3, 1.0))
+    def test_a_new_link_gets_the_known_versions(self):
+        self.update((2, None), (3, 1.0))
         link = self.opened('10.0.0.1:1')
         self.assertEqual(
             [[('story', 3, True), ('story', 2, False)]], named(link)
         )
 
-    def test_a_naming_is_told_once_to_each_link(self):
+    def test_a_named_version_is_sent_once_per_link(self):
         first, second = self.opened('10.0.0.1:1'), self.opened('10.0.0.2:1')
-        self.believe((2, 5.0))
-        self.believe((2, 5.0))
+        self.update((2, 5.0))
+        self.update((2, 5.0))
         for link in (first, second):
             self.assertEqual([[], [('story', 2, True)]], named(link))
 
     def test_a_probe_goes_to_its_agent_and_comes_back(self):
-        """A time that is changed on its way would match no probe."""
+        """A time that is changed in transit would not match the probe."""
         link, other = self.opened('10.0.0.1:1'), self.opened('10.0.0.2:1')
         sent_at = round(12345.678901234, 6)
         self.task._handle(ProbeWanted('10.0.0.1:1', sent_at))
         probe = link.sent[-1]
         self.assertNotIn(probe, other.sent)
         self.task._handle(links.Received(link, probe))
-        self.assertEqual([ProbeReturned('10.0.0.1:1', sent_at)], self.heard)
+        self.assertEqual(
+            [ProbeReturned('10.0.0.1:1', sent_at)], self.link_events
+        )
 
     def test_no_probe_without_a_link(self):
-        """An agent that restarts has no link for a moment."""
+        """A restarting agent has no link for a moment."""
         self.task._handle(ProbeWanted('10.0.0.9:1', 1.0))
-        self.assertEqual([], self.heard)
+        self.assertEqual([], self.link_events)
 
-    def test_news_of_a_slow_link_does_not_go_over_that_link(self):
-        """It would stand behind what has made the link slow."""
+    def test_a_slow_link_is_not_reported_over_itself(self):
+        """The report would be queued behind the data that slows the link."""
         slow, fast = self.opened('10.0.0.1:1'), self.opened('10.0.0.2:1')
         self.task._handle(LinkTold('10.0.0.1:1', True))
         news = messages.LinkNews('10.0.0.1:1', True)
         self.assertIn(news, fast.sent)
         self.assertNotIn(news, slow.sent)
         self.task._handle(links.Received(fast, news))
-        self.assertEqual([LinkTold('10.0.0.1:1', True)], self.heard)
+        self.assertEqual([LinkTold('10.0.0.1:1', True)], self.link_events)
 
-    def test_a_link_that_is_gone_is_no_longer_slow(self):
-        """An agent that was killed would leave its engine without work."""
+    def test_a_closed_link_is_no_longer_slow(self):
+        """Otherwise a killed agent would leave its engine without requests."""
         link = self.opened('10.0.0.1:1')
         self.task._handle(links.Closed(link, 'killed'))
-        self.assertEqual([LinkLost('10.0.0.1:1')], self.heard)
+        self.assertEqual([LinkLost('10.0.0.1:1')], self.link_events)
 
     def saved(self, version, origin):
-        """Take in a saved configuration with one engine of `drafts`."""
+        """Apply a saved configuration with one engine of `drafts`."""
         drafts = Service('drafts', 8, models=(Model('story', 0.3),), slots=4)
         weights = Service('weights', 8, origin=origin)
         routes = route_table(
@@ -131,11 +133,11 @@
         )
         self.task._handle(self.beliefs)
 
-    def test_an_agent_is_told_what_it_needs_and_not_of_each_save(self):
-        """Operators save routes in a storm; the origin moves once.
+    def test_an_agent_gets_only_saves_that_change_its_requirements(self):
+        """Operators save routes many times; the origin changes once.
 
-        An agent that read each save would fill its engine's thin link with
-        routes that it has no use for.
+        Sending each saved configuration would fill the engine's slow link
+        with routes that the agent does not need.
         """
         link = self.opened(str(ADDRESS))
         for version in range(1, 20):
@@ -150,34 +152,35 @@
             [news.needs for news in link.sent],
         )
 
-    def test_an_agent_of_an_unlisted_engine_is_told_of_no_service(self):
-        """The list drops engines through an outage of the store.
+    def test_an_agent_of_an_unlisted_engine_gets_no_requirements(self):
+        """The upstream list drops engines during an outage of the store.
 
-        An agent that took its models for withdrawn would drop its copies.
+        An agent that treated its models as withdrawn would delete its
+        copies.
         """
         link = self.opened('10.0.0.9:1')
         self.saved(1, '10.0.0.8:80')
         self.assertEqual([None], [news.needs for news in link.sent])
 
-    def test_a_crash_is_told_to_few_agents_and_learnt_from_any(self):
-        """A request that crashes engines is sent again, to any entry.
+    def test_a_crash_is_relayed_by_few_agents(self):
+        """A request that crashes engines is retried at any entry.
 
-        Entries that count crashes each for itself would let it crash two
-        engines each, and callers there lose their answers.
+        If each entry counted crashes by itself, the request could crash two
+        engines per entry, and other callers would lose their answers.
         """
         opened = [self.opened(f'10.0.0.{n}:1') for n in range(1, 9)]
         seen = CrashSeen('f-1', 'i-1', True, False)
         self.task._handle(seen)
-        told = [link for link in opened if len(link.sent) > 1]
-        self.assertEqual(3, len(told))
-        news = told[0].sent[-1]
+        receivers = [link for link in opened if len(link.sent) > 1]
+        self.assertEqual(3, len(receivers))
+        news = receivers[0].sent[-1]
         self.task._handle(links.Received(opened[0], news))
-        self.assertEqual([CrashLearned(seen, 0.0)], self.learned)
+        self.assertEqual([CrashLearned(seen, 0.0)], self.crashes)
 
-    def test_an_entry_that_hears_nothing_says_so(self):
-        """The store turns one entry away and serves the agents.
+    def test_an_entry_without_contact_reports_it(self):
+        """The store refuses one entry and serves the agents.
 
-        An agent that went on relying on it would miss a version.
+        An agent that kept relying on that entry would miss a version.
         """
         link = self.opened(str(ADDRESS))
         self.in_contact = False
--- a/packages/burdockchute-entry/tests/test_retry_budgets.py
+++ b/packages/burdockchute-entry/tests/test_retry_budgets.py
@@ -1,4 +1,4 @@
-"""Retries that entries share without talking to each other."""
+"""Retry budgets that entries share without communication."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class RetryBudgetsTest(unittest.TestCase):
-    def test_all_entries_together_stay_within_what_is_allowed(self):
-        """All engines fail, and six entries retry whatever they may.
+    def test_all_entries_together_stay_within_the_allowed_retries(self):
+        """All engines fail, and six entries retry as often as they may.
 
-        If each took all that operators allow, the engines that come back
-        would meet six times as many retries and fail again.
+        If each entry made all retries that operators allow, recovering
+        engines would get six times as many and fail again.
         """
         entries = [RetryBudgets(lambda: BOUNDS, lambda: 6) for _ in range(6)]
         times = []
@@ -28,9 +28,9 @@
                     times.append(now)
         firsts_in_window = 6 * 10 * 100 / 8
         allowed = 0.2 * firsts_in_window + 106
-        most = max(sum(t <= s < t + 10 for s in times) for t in times)
-        self.assertLessEqual(most, allowed)
-        self.assertGreater(most, allowed / 3)
+        max_in_window = max(sum(t <= s < t + 10 for s in times) for t in times)
+        self.assertLessEqual(max_in_window, allowed)
+        self.assertGreater(max_in_window, allowed / 3)
 
     def test_services_have_budgets_of_their_own(self):
         budgets = RetryBudgets(lambda: BOUNDS, lambda: 6)
@@ -38,10 +38,11 @@
             pass
         self.assertTrue(budgets.take('desk', 0.0))
 
-    def test_new_requests_leave_retries_for_begun_streams(self):
+    def test_new_requests_leave_retries_for_resumed_streams(self):
         """A crash fails new requests and breaks off streams at once.
 
-        Whoever asked first took all, and callers lost the rest of an answer.
+        The first requests used up the budget, and callers of interrupted
+        streams lost the remainder of their answers.
         """
         budgets = RetryBudgets(lambda: BOUNDS, lambda: 6)
         while budgets.take('drafts', 0.0):
@@ -49,16 +50,16 @@
         self.assertTrue(budgets.take('drafts', 0.0, resuming=True))
 
     def test_one_of_many_entries_may_still_retry_new_requests(self):
-        """So many entries share the retries that each has one at a time."""
+        """With many entries, each has one retry at a time."""
         budgets = RetryBudgets(lambda: BOUNDS, lambda: 400)
         self.assertTrue(budgets.take('drafts', 0.0))
         self.assertFalse(budgets.take('drafts', 0.0, resuming=True))
 
-    def test_a_small_share_is_kept_whole_for_begun_streams(self):
-        """Fourteen entries share the retries, and a crash used some up.
+    def test_a_small_reserve_is_a_whole_retry(self):
+        """Fourteen entries share the retries, and a crash used some of them.
 
-        New requests left less than one retry, with which a stream that has
-        begun can do nothing.
+        New requests left less than one retry, which is not enough to resume
+        a stream.
         """
         budgets = RetryBudgets(lambda: BOUNDS, lambda: 14)
         while budgets.take('drafts', 0.0, resuming=True):
--- a/packages/burdockchute-entry/tests/test_survey.py
+++ b/packages/burdockchute-entry/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""A round of giving out places in a shortage."""
+"""Assignment of slots when there are more requests than slots."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 TARGETS = 50
 SLOTS = 4
 
-# Figures of an engine as its operators would declare them.
+# Cost model of an engine as its operators would configure it.
 COST = EngineCost(0.0093, 0.000023, 20_700.0, 5, 950.0, 95.0)
 
 
@@ -77,22 +77,22 @@
     return EngineView(target.id, 0, 0, SLOTS, 1, 0)
 
 
-class SurveyTest(unittest.TestCase):
-    def test_full_targets_are_not_looked_at(self):
-        """All engines are full, hundreds of reports a second come in.
+class PlacementRoundTest(unittest.TestCase):
+    def test_full_targets_are_not_evaluated(self):
+        """All engines are full while hundreds of reports arrive per second.
 
-        An entry that weighed each waiting request against each engine at
-        every report would have no time left for answers.
+        An entry that evaluated each waiting request for each engine at every
+        report would have no time left to forward answers.
         """
         full = targets()
         for target in full:
             target.load.reserved_for = 'somebody else'
-        look = mock.Mock(side_effect=view_of)
-        placement_round = PlacementRound(full, look, 0.0)
+        get_view = mock.Mock(side_effect=view_of)
+        placement_round = PlacementRound(full, get_view, 0.0)
         self.assertFalse(placement_round.has_headroom(False))
-        look.assert_not_called()
+        get_view.assert_not_called()
 
-    def test_what_asks_for_more_than_one_in_vain_is_passed_over(self):
+    def test_requests_above_an_unplaceable_one_are_skipped(self):
         placement_round = PlacementRound(targets(), view_of, 0.0)
         placement_round.record_unplaceable(pending(1, prompt=900), 0.2)
         self.assertTrue(
@@ -106,22 +106,22 @@
         )
         self.assertFalse(placement_round.is_unplaceable(pending(5), None))
 
-    def test_one_that_avoids_targets_says_nothing_of_others(self):
+    def test_a_restricted_request_does_not_affect_others(self):
         placement_round = PlacementRound(targets(), view_of, 0.0)
-        choosy = pending(1)
-        choosy.avoided.add('i-1')
-        placement_round.record_unplaceable(choosy, 0.2)
+        restricted = pending(1)
+        restricted.avoided.add('i-1')
+        placement_round.record_unplaceable(restricted, 0.2)
         self.assertFalse(
             placement_round.is_unplaceable(pending(2, prompt=1200), 0.1)
         )
 
 
-class PlacerTest(unittest.TestCase):
-    def test_a_storm_of_reports_is_one_round(self):
-        """Fifty agents report within a moment while callers wait.
+class SchedulerTest(unittest.TestCase):
+    def test_many_reports_start_one_round(self):
+        """Fifty agents report at almost the same time while requests wait.
 
-        Each report starts no round of its own: all that came free is given
-        out together a moment later.
+        The slots freed by all reports are assigned in one round a moment
+        later, in place of one round for each report.
         """
         scheduler = Scheduler(BOUNDS, lambda: 0.0, random.Random(1))
         known = {u.id: KnownUpstream(u, 0) for u in upstreams()}
@@ -136,26 +136,26 @@
         start_round = KnownTargets.start_round
         with mock.patch.object(
             KnownTargets, 'start_round', autospec=True
-        ) as look:
-            look.side_effect = start_round
+        ) as start_round_mock:
+            start_round_mock.side_effect = start_round
             for target in scheduler.targets():
                 target.load.reserved_for = ''
                 address = str(target.upstream.endpoint)
                 scheduler.apply_load_report(
                     address, messages.LoadReport(running=0)
                 )
-            look.assert_not_called()
+            start_round_mock.assert_not_called()
             gevent.joinall(waiting, timeout=5)
-            self.assertEqual(1, look.call_count)
+            self.assertEqual(1, start_round_mock.call_count)
         self.assertTrue(all(slot.value.target for slot in waiting))
 
-    def test_a_long_prompt_gets_the_slot_that_stands_empty(self):
-        """Engines have twelve of sixteen slots taken, and prompts come in.
+    def test_an_overdue_long_prompt_gets_a_free_slot(self):
+        """Engines have twelve of sixteen slots occupied.
 
-        By the estimate no engine reads a long one in time, so it waits; then
-        it is late. Were the last slots kept free of late work, its caller
-        would be refused after two seconds beside four empty slots, and with
-        most of those who come then it would be the same.
+        By the estimate no engine processes a long prompt in time, so the
+        request waits until it is overdue. If the last slots were reserved,
+        it would be refused after two seconds with four slots free, as would
+        most requests that arrive then.
         """
         scheduler = Scheduler(BOUNDS, lambda: 0.0, random.Random(1))
         known = {
@@ -172,11 +172,12 @@
 
 
 class OverloadTest(unittest.TestCase):
-    def test_returned_callers_are_no_new_ones_that_miss(self):
-        """A burst is over and those sent away come back, past their aim.
+    def test_returning_callers_do_not_count_as_overload(self):
+        """Refused callers return after a burst, past their objective.
 
-        Counted as new ones, they alone kept half of each engine closed to
-        themselves.
+        When they were counted as new requests that miss it, they alone
+        sustained the overload state, which kept half of each engine's slots
+        reserved and so closed to themselves.
         """
         scheduler = Scheduler(BOUNDS, lambda: 0.0, random.Random(1))
         known = {u.id: KnownUpstream(u, 0) for u in upstreams()}
@@ -194,7 +195,7 @@
 
 
 class OpeningTest(unittest.TestCase):
-    """All engines have restarted and copy their weights."""
+    """All engines have restarted and are copying their weights."""
 
     def setUp(self):
         self.now = 100.0
@@ -227,11 +228,11 @@
         asked = PendingRequest(ctx, Work(1.0, False, 900, ()), spec)
         return gevent.spawn(self.scheduler.wait_for_slot, asked, ctx.deadline)
 
-    def test_as_many_as_the_engines_can_take_wait_for_them(self):
-        """Copies are whole in three seconds; callers have six.
+    def test_requests_wait_for_the_slots_of_opening_engines(self):
+        """Copies are complete in three seconds; callers have six.
 
-        Refused until then, each would come back once, be refused again and
-        have nothing, while the engines open and stand empty.
+        If callers were refused until then, each would retry once, be refused
+        again and get nothing, while the engines open and stay idle.
         """
         self.report(opens_in_ms=3000)
         waiting = [self.ask(number) for number in range(2 * SLOTS)]
@@ -246,10 +247,10 @@
         gevent.joinall(waiting, timeout=5)
         self.assertTrue(all(isinstance(w.value, Slot) for w in waiting))
 
-    def test_who_has_no_time_for_it_hears_so_at_once(self):
-        """Copies are whole in five and a half seconds, answers take one.
+    def test_requests_without_time_to_wait_are_refused_at_once(self):
+        """Copies are complete in five and a half seconds, answers take one.
 
-        Whoever waited would hear nothing but its own deadline.
+        A waiting caller would only reach its deadline.
         """
         self.report(opens_in_ms=5500)
         refused = self.ask(1)
@@ -262,8 +263,8 @@
     unittest.main()
 
 
-class RestTest(unittest.TestCase):
-    """The rest of a stream beside new requests, at one upstream."""
+class ResumedStreamTest(unittest.TestCase):
+    """An interrupted stream and new requests at a single upstream."""
 
     def setUp(self):
         self.now = 0.0
@@ -281,29 +282,31 @@
         gevent.sleep(0)
         return waiting
 
-    def test_a_rest_gets_the_first_place(self):
-        """A new request waits for the only place, and then a stream's rest.
+    def test_a_resumed_stream_gets_the_first_slot(self):
+        """A new request waits for the only slot, then an interrupted stream.
 
-        A caller who had a part of its answer waited behind one who had none.
+        A caller that already had a part of its answer waited behind one that
+        had none.
         """
         self.target.load.reserved_for = 'somebody else'
         new = self.wait(1, resuming=False)
-        rest = self.wait(2, resuming=True)
+        resumed = self.wait(2, resuming=True)
         self.target.load.reserved_for = ''
         self.scheduler.assign_free_slots()
         gevent.sleep(0)
-        self.assertIsInstance(rest.value, Slot)
+        self.assertIsInstance(resumed.value, Slot)
         self.assertFalse(new.ready())
 
-    def test_a_rest_waits_for_an_upstream_that_is_left_alone(self):
+    def test_a_resumed_stream_waits_for_an_upstream_that_failed(self):
         """The only upstream reset a connection a moment ago.
 
-        A caller who had a part of its answer was told that nobody is there.
+        A caller that had a part of its answer was refused because no
+        upstream was usable.
         """
         self.target.record_failure(self.now)
-        rest = self.wait(1, resuming=True)
-        self.assertFalse(rest.ready())
+        resumed = self.wait(1, resuming=True)
+        self.assertFalse(resumed.ready())
         self.now += 1.0
         self.scheduler.assign_free_slots()
         gevent.sleep(0)
-        self.assertIsInstance(rest.value, Slot)
+        self.assertIsInstance(resumed.value, Slot)
