--- a/packages/burdockchute-agent/burdockchute_agent/registration.py
+++ b/packages/burdockchute-agent/burdockchute_agent/registration.py
@@ -1,7 +1,7 @@
 """Registration of an agent; its fencing number is an offset in the log.
 
 Of two agents for one instance, the one that registered later has the higher
-number, whatever its clock says. An append whose reply was lost is repeated:
+number, independent of its clock. An append whose reply was lost is repeated:
 both records belong to this agent, and the higher offset counts.
 """
 
--- a/packages/burdockchute-agent/burdockchute_agent/reports.py
+++ b/packages/burdockchute-agent/burdockchute_agent/reports.py
@@ -178,8 +178,8 @@
 
     def _poll_service(self) -> None:
         # A plain service has no status page, and any call to it could be one
-        # that must not be repeated. So only its accepting connections is
-        # checked.
+        # that must not be repeated. So the poll only checks that it accepts
+        # connections.
         parts = parse.urlsplit(self._cfg.upstream_url)
         address = (parts.hostname, parts.port)
         socket.create_connection(address, UPSTREAM_TIMEOUT_S).close()
--- a/packages/burdockchute-agent/burdockchute_agent/staged/rollout.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/rollout.py
@@ -184,7 +184,7 @@
         )
 
     def copying_s(self, version: int, now: float) -> float:
-        """Return for how many seconds a version has been copied."""
+        """Return the seconds for which a version has been copied."""
         return now - self._copying_since.get(version, now)
 
     def _progress(
--- a/packages/burdockchute-agent/burdockchute_agent/staged/state_sources.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/state_sources.py
@@ -11,8 +11,8 @@
 STORE_FALLBACK_DELAY_S = 0.75
 
 # An agent that starts has no traffic to delay, and entries find a new engine
-# only in the list, which they read every 0.7 s while it changes.
-# If all processes start at once, entries are connected after 0.15 s.
+# only in the list, which they read every 0.7 s while it changes. If all
+# processes start at once, entries are connected after 0.15 s.
 STARTUP_FALLBACK_DELAY_S = 0.2
 
 
