--- a/packages/burdockchute-entry/burdockchute_entry/intake.py
+++ b/packages/burdockchute-entry/burdockchute_entry/admission_control.py
@@ -24,7 +24,7 @@
 from burdockchute_entry.pools import Pool
 
 
-class Intake:
+class AdmissionControl:
     """The buckets of the customers at this entry."""
 
     def __init__(self) -> None:
--- a/packages/burdockchute-entry/burdockchute_entry/app.py
+++ b/packages/burdockchute-entry/burdockchute_entry/app.py
@@ -27,14 +27,14 @@
 from burdockchute.platform.instances import InstanceList
 from burdockchute.platform.log import LogClient
 from burdockchute.wire import messages
+from burdockchute_entry.claim_collector import Clocks
 from burdockchute_entry.claims_task import ClaimsTask
 from burdockchute_entry.crashes_task import CrashesTask
-from burdockchute_entry.gatherer import Clocks
 from burdockchute_entry.limits_task import LimitsTask
 from burdockchute_entry.links_task import Handing
 from burdockchute_entry.links_task import LinksTask
 from burdockchute_entry.links_task import TableSource
-from burdockchute_entry.observing import Observer
+from burdockchute_entry.request_metrics import RequestMetrics
 from burdockchute_entry.router import Router
 from burdockchute_entry.settings import Settings
 from burdockchute_entry.table_task import TableTask
@@ -65,7 +65,7 @@
             cfg.log_retention_s,
             ask_peers=lambda offset: self.links_task.ask_peers(offset),
         )
-        self.observer = Observer(self.table)
+        self.observer = RequestMetrics(self.table)
         self.claims_task = ClaimsTask(
             cfg.name,
             LogClient(cfg.log_url, concurrency=CLAIM_CONNECTIONS),
--- a/packages/burdockchute-entry/burdockchute_entry/gatherer.py
+++ b/packages/burdockchute-entry/burdockchute_entry/claim_collector.py
@@ -57,7 +57,7 @@
     due: float
 
 
-class Gatherer:
+class ClaimCollector:
     """Claims on one stream; `submit` never blocks."""
 
     def __init__(self, stream: str, log: Log, clocks: Clocks) -> None:
--- a/packages/burdockchute-entry/burdockchute_entry/claims_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/claims_task.py
@@ -37,8 +37,8 @@
 from burdockchute.nodes import links
 from burdockchute.platform.log import Log
 from burdockchute.wire import messages
-from burdockchute_entry.gatherer import Clocks
-from burdockchute_entry.gatherer import Gatherer
+from burdockchute_entry.claim_collector import ClaimCollector
+from burdockchute_entry.claim_collector import Clocks
 
 # A claim costs two trips to the log and two between entries; one that takes
 # this long meets an outage, and its caller is better told so.
@@ -100,7 +100,7 @@
         self, name: str, log: Log, send_to: SendTo, clocks: Clocks
     ) -> None:
         self.inbox: queue.Queue = queue.Queue()
-        self.gatherers: dict[str, Gatherer] = {}
+        self.collectors: dict[str, ClaimCollector] = {}
         self._name = name
         self._log = log
         self._send_to = send_to
@@ -130,8 +130,8 @@
 
     def stop(self) -> None:
         """Stop the gatherers."""
-        for gatherer in self.gatherers.values():
-            gatherer.stop()
+        for collector in self.collectors.values():
+            collector.stop()
 
     def settled(self) -> bool:
         """Tell whether every release and outcome is in the log."""
@@ -226,13 +226,13 @@
 
     def _gather(self, peer: str, act: Act) -> None:
         stream = claims.stream_of(act.key)
-        gatherer = self.gatherers.get(stream)
-        if gatherer is None:
-            gatherer = Gatherer(stream, self._log, self._clocks)
-            gatherer.start()
-            self.gatherers[stream] = gatherer
+        collector = self.collectors.get(stream)
+        if collector is None:
+            collector = ClaimCollector(stream, self._log, self._clocks)
+            collector.start()
+            self.collectors[stream] = collector
             logs.event('claims_gathered_here', stream=stream)
-        gatherer.submit(
+        collector.submit(
             act, lambda verdict: self.inbox.put(_Verdict(peer, act, verdict))
         )
 
@@ -271,10 +271,10 @@
         self._entries = _live_entries(event.members, self._name)
 
     def _stop_idle(self, now: float) -> None:
-        for stream, gatherer in list(self.gatherers.items()):
-            if now - gatherer.last_used > IDLE_S:
-                gatherer.stop()
-                del self.gatherers[stream]
+        for stream, collector in list(self.collectors.items()):
+            if now - collector.last_used > IDLE_S:
+                collector.stop()
+                del self.collectors[stream]
 
 
 def _live_entries(members: tuple[Member, ...], own: str) -> list[str]:
--- a/packages/burdockchute-entry/burdockchute_entry/links_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/links_task.py
@@ -33,8 +33,8 @@
 from burdockchute.nodes import links
 from burdockchute.platform.instances import InstanceList
 from burdockchute.wire import messages
-from burdockchute_entry import listing
-from burdockchute_entry.listing import Tick
+from burdockchute_entry import instance_polling
+from burdockchute_entry.instance_polling import Tick
 from burdockchute_entry.subset_task import SubsetTask
 
 # An instance that refuses connections has died or not yet started; one dial
@@ -136,7 +136,7 @@
 
     def run(self) -> None:
         """Handle messages for ever."""
-        gevent.spawn(listing.poll, self._list, self.inbox.put)
+        gevent.spawn(instance_polling.poll, self._list, self.inbox.put)
         gevent.spawn(self._subset.run)
         while True:
             self._handle(self.inbox.get())
@@ -213,7 +213,10 @@
         came, gone = membership.changes(self._members_told, self.members)
         self._members_told = self.members
         message = messages.Members(
-            list(listing.agents_on_wire(came)), self._members_sent, True, gone
+            list(instance_polling.agents_on_wire(came)),
+            self._members_sent,
+            True,
+            gone,
         )
         frame = links.frame_of(message)
         for link in self.agent_links():
@@ -391,7 +394,7 @@
         # A megabyte on the largest site; made once for all who connect
         # between two changes.
         if self._whole_made_of is not self.members:
-            agents = list(listing.agents_on_wire(self.members))
+            agents = list(instance_polling.agents_on_wire(self.members))
             message = messages.Members(agents, self._members_sent)
             self._whole_frame = links.frame_of(message)
             self._whole_made_of = self.members
--- a/packages/burdockchute-entry/burdockchute_entry/pools.py
+++ b/packages/burdockchute-entry/burdockchute_entry/pools.py
@@ -98,7 +98,7 @@
         """
         return 0 < self.long_tokens <= cost
 
-    def answered(self, unit_s: float) -> None:
+    def record_unit_time(self, unit_s: float) -> None:
         """Take in how long one unit of work took."""
         if self.unit_s:
             unit_s = (1 - SMOOTHING) * self.unit_s + SMOOTHING * unit_s
--- a/packages/burdockchute-entry/burdockchute_entry/observing.py
+++ b/packages/burdockchute-entry/burdockchute_entry/request_metrics.py
@@ -22,7 +22,7 @@
 CALLER_STATUSES = range(400, 500)
 
 
-class Observer:
+class RequestMetrics:
     """What this entry has counted since it started."""
 
     def __init__(self, table: Callable[[], Table]) -> None:
--- a/packages/burdockchute-entry/burdockchute_entry/router.py
+++ b/packages/burdockchute-entry/burdockchute_entry/router.py
@@ -34,9 +34,9 @@
 from burdockchute.model.table import Table
 from burdockchute.nodes import links
 from burdockchute.wire import messages
-from burdockchute_entry import endings
+from burdockchute_entry import admission_control
+from burdockchute_entry import completion
 from burdockchute_entry import fleet as fleets
-from burdockchute_entry import intake
 from burdockchute_entry.attempts import Attempt
 from burdockchute_entry.attempts import Broken
 from burdockchute_entry.attempts import Request
@@ -89,7 +89,7 @@
             name,
         )
         self._deadlines: list[tuple[float, str]] = []
-        self._intake = intake.Intake()
+        self._intake = admission_control.AdmissionControl()
         self._suspects = Suspects()
         self._ticked_at = now()
         self._handlers: dict[type, Callable[[Any], None]] = {
@@ -198,9 +198,9 @@
             self._dispatcher.enqueue(request)
             return
         request.claim_id = ''
-        outcome = intake.outcome_of(event.verdict)
+        outcome = admission_control.outcome_of(event.verdict)
         if isinstance(outcome, Answered):
-            outcome = endings.replay(request, outcome, self._now())
+            outcome = completion.replay(request, outcome, self._now())
         self._finish(request, outcome)
 
     # Answers.
@@ -223,7 +223,7 @@
         ready = request.attempt.accept(part)
         request.parts.extend(ready)
         if ready and request.ctx.stream:
-            endings.pass_on(request, ready, self._now())
+            completion.pass_on(request, ready, self._now())
 
     def _end(self, request: Request, end: messages.AnswerEnd) -> None:
         attempt = request.attempt
@@ -241,11 +241,11 @@
         )
         if end.running is not None:
             attempt.instance.load.update_in_flight(end.running, now)
-        pool.answered(service_s / request.work.cost)
+        pool.record_unit_time(service_s / request.work.cost)
         request.attempt = None
         self._suspects.answered(request.ctx.fingerprint)
         if not request.ctx.stream:
-            endings.pass_on(request, request.parts, now)
+            completion.pass_on(request, request.parts, now)
         outcome = Answered(
             end.status, end.content_type, b'', end.digest, end.adapter_digest
         )
@@ -370,10 +370,10 @@
     def _finish(self, request: Request, outcome: Outcome) -> None:
         del self._requests[request.ctx.request_id]
         self._dispatcher.forget(request)
-        outcome = endings.truthful(request, outcome)
-        endings.tell_caller(request, outcome, self._now(), self._observe)
+        outcome = completion.truthful(request, outcome)
+        completion.tell_caller(request, outcome, self._now(), self._observe)
         if request.claim_id and self._claim is not None:
-            endings.tell_claims(request, outcome, self._claim)
+            completion.tell_claims(request, outcome, self._claim)
 
     # Instances and the table.
 
--- a/packages/burdockchute-entry/burdockchute_entry/straight/scheduler.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/scheduler.py
@@ -301,7 +301,7 @@
             pending.work, service_s, service_queue.unit_s, now
         )
         target.record_success(now)
-        service_queue.answered(service_s / pending.work.cost)
+        service_queue.record_unit_time(service_s / pending.work.cost)
         self._assign_slots(pending.spec.service)
 
     def mark_failed(
--- a/packages/burdockchute-entry/tests/test_claims_task.py
+++ b/packages/burdockchute-entry/tests/test_claims_task.py
@@ -19,13 +19,13 @@
 from burdockchute.model.outcomes import Answered
 from burdockchute.model.outcomes import Unknown
 from burdockchute.nodes import links
+from burdockchute_entry import claim_collector
 from burdockchute_entry import claims_task
-from burdockchute_entry import gatherer
 from burdockchute_entry.claims_task import ClaimsTask
 from burdockchute_testing.builders import requests
 from burdockchute_testing.fakes.log import FakeLog
 
-CLOCKS = gatherer.Clocks(time.monotonic, time.time)
+CLOCKS = claim_collector.Clocks(time.monotonic, time.time)
 ANSWER = Answered(200, 'application/json', b'{"posted": 1}', '', '')
 NAMES = ('one', 'two')
 
@@ -44,7 +44,7 @@
             patch = mock.patch.object(claims_task, name, value)
             patch.start()
             self.addCleanup(patch.stop)
-        patch = mock.patch.object(gatherer, 'UNSURE_S', 0.1)
+        patch = mock.patch.object(claim_collector, 'UNSURE_S', 0.1)
         patch.start()
         self.addCleanup(patch.stop)
         self.log = FakeLog()
--- a/packages/burdockchute-entry/tests/test_ticks.py
+++ b/packages/burdockchute-entry/tests/test_ticks.py
@@ -6,8 +6,8 @@
 from unittest import mock
 
 from burdockchute.model.changes import MembersChanged
+from burdockchute_entry.claim_collector import Clocks
 from burdockchute_entry.claims_task import ClaimsTask
-from burdockchute_entry.gatherer import Clocks
 from burdockchute_entry.limits_task import LimitsTask
 from burdockchute_testing.fakes.log import FakeLog
 
