--- a/packages/burdockchute-agent/burdockchute_agent/staged/origins.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/origins.py
@@ -53,7 +53,7 @@
             data = result.unwrap()
             self.bytes_read += len(data)
             if len(data) != chunk_bytes(manifest, index):
-                text = f'no valid chunk: {len(data)} bytes'
+                text = f'{len(data)} bytes are no valid chunk'
                 return Result.from_failure(OriginError(text, 200))
         return result
 
