--- a/packages/burdockchute-entry/burdockchute_entry/straight/scheduler.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/scheduler.py
@@ -246,7 +246,7 @@
             v for v in views if engine_placement.stays_open(v, remainder_s)
         ]
         view = engine_placement.choose_engine(
-            staying, size_of(pending), cost, within_s, begun=True
+            staying, size_of(pending), cost, within_s, started=True
         )
         return (
             self._take_slot(pending, eligible[view.name], now)
--- a/packages/burdockchute/tests/decisions/test_engine_placement.py
+++ b/packages/burdockchute/tests/decisions/test_engine_placement.py
@@ -10,7 +10,7 @@
 from burdockchute.decisions.engine_placement import RequestSize
 from burdockchute.model.routes import EngineCost
 
-# Figures of an engine as its operators would declare them.
+# An engine as its operators would declare it.
 COST = EngineCost(0.009, 0.00004, 19_000.0, 5, 950.0, 95.0)
 PROMPT = 950
 
@@ -28,12 +28,12 @@
     return found.name if found else None
 
 
-class EngineRoomTest(unittest.TestCase):
-    def test_an_engine_just_back_does_not_get_everybody(self):
+class EnginePlacementTest(unittest.TestCase):
+    def test_a_restarted_engine_does_not_get_every_request(self):
         """One engine comes back empty while the others are half full.
 
-        Six entries see it at the same moment. Each sends what it has; by
-        counting slots it would get sixteen prompts at once and the last
+        Six entries see it at the same moment and each sends its requests.
+        Counting free slots, it would get sixteen prompts at once and the last
         would wait for most of a second.
         """
         others = [view(f'busy-{n}', ours=1, others=7) for n in range(5)]
@@ -46,11 +46,11 @@
             sent += 1
         self.assertEqual(1, sent)
 
-    def test_entries_share_what_is_free(self):
+    def test_entries_share_the_free_slots(self):
         """36 entries see five free slots at the same moment.
 
-        Each that took all it sees would send 36 requests there, of which
-        31 wait in the engine.
+        If each took all that it sees, 36 requests would be sent there, of
+        which 31 wait in the engine.
         """
         rng = random.Random(1)
         taken = [
@@ -64,20 +64,20 @@
         self.assertEqual(5, engine_placement.random_share(5, 1, 0.99))
         self.assertEqual(0, engine_placement.random_share(-2, 4, 0.99))
 
-    def test_the_rest_of_a_stream_is_bound_to_no_share(self):
-        """Its caller has a part of the answer; new ones draw their share."""
+    def test_the_remainder_of_a_stream_is_not_bound_by_the_share(self):
+        """Its caller already has a part of the answer."""
         views = [view('a', share=0)]
-        wanted = RequestSize(PROMPT, 95)
+        size = RequestSize(PROMPT, 95)
         self.assertIsNone(
-            engine_placement.choose_engine(views, wanted, COST, 0.4)
+            engine_placement.choose_engine(views, size, COST, 0.4)
         )
         found = engine_placement.choose_engine(
-            views, wanted, COST, 1.2, begun=True
+            views, size, COST, 1.2, started=True
         )
         self.assertIsNotNone(found)
 
-    def test_few_engines_are_compared_most_of_the_own_region(self):
-        """All entries would choose the one that looks best to all."""
+    def test_few_engines_are_compared_most_of_them_local(self):
+        """With all engines, every entry would choose the same best one."""
         rng = random.Random(1)
         views = [view(f'near-{n}') for n in range(9)]
         views += [view(f'far-{n}', is_remote=True) for n in range(30)]
@@ -92,18 +92,18 @@
             views[:1], engine_placement.sample_engines(views[:1], rng)
         )
 
-    def test_late_work_leaves_a_reserve(self):
-        """New callers miss their objective while late ones fill engines."""
+    def test_overdue_requests_leave_a_reserve(self):
+        """New requests are late while overdue ones fill the engines."""
         views = [view('a', others=9)]
-        wanted = RequestSize(PROMPT, 95)
+        size = RequestSize(PROMPT, 95)
         self.assertIsNotNone(
-            engine_placement.choose_engine(views, wanted, COST, None)
+            engine_placement.choose_engine(views, size, COST, None)
         )
         self.assertIsNone(
-            engine_placement.choose_engine(views, wanted, COST, None, 0.5)
+            engine_placement.choose_engine(views, size, COST, None, 0.5)
         )
         self.assertIsNotNone(
-            engine_placement.choose_engine(views, wanted, COST, 0.4, 0.5)
+            engine_placement.choose_engine(views, size, COST, 0.4, 0.5)
         )
 
     def test_least_expected_time_wins(self):
@@ -113,11 +113,11 @@
         slow = view('a', others=3, slowness=3.0)
         self.assertEqual('b', choose([slow, view('b', others=5)]))
 
-    def test_no_engine_is_better_than_a_late_one(self):
-        """All engines read prompts; one more would begin after the aim.
+    def test_no_engine_is_chosen_if_all_would_be_late(self):
+        """All engines process prompts; one more request would be late.
 
-        It waits at the entry, where the next free moment of any engine
-        counts, and does not slow down those that are on time.
+        It waits at the entry, where the next free slot of any engine counts,
+        and does not slow down the requests that are on time.
         """
         full = [view('a', ours=4, unread_tokens=6 * PROMPT)]
         self.assertIsNone(choose(full))
@@ -125,22 +125,23 @@
     def test_a_long_prompt_is_not_refused_for_its_own_length(self):
         self.assertEqual('a', choose([view('a')], prompt=8000))
 
-    def test_late_work_takes_any_free_slot_and_no_more(self):
-        """Callers who are late already wait, and engines have empty slots.
+    def test_overdue_requests_take_free_slots_only(self):
+        """Overdue requests wait while engines have empty slots.
 
-        An empty slot saves those that run next to nothing, while its caller
-        would wait until it is refused. A full engine takes none of them.
+        An empty slot gains the running requests next to nothing, while the
+        overdue one would wait until it is refused. A full engine takes none of
+        them.
         """
         self.assertEqual('a', choose([view('a', others=15)], left_s=None))
         self.assertIsNone(choose([view('a', others=16)], left_s=None))
         unreported = view('a', others=13, unreported=3)
         self.assertIsNone(choose([unreported], left_s=None))
 
-    def test_long_answers_keep_away_from_an_engine_about_to_load(self):
-        """An engine takes nothing new in a second, to load a version.
+    def test_long_answers_avoid_an_engine_that_is_about_to_load(self):
+        """An engine closes in a second, to load a version.
 
         With a long answer left it would work for two seconds on that alone,
-        while callers wait for the others.
+        while requests wait for the other engines.
         """
         closing = view('closing', closes_in_s=1.0)
         views = [closing, view('stays', others=4)]
@@ -154,10 +155,10 @@
         self.assertFalse(engine_placement.stays_open(closing, 2.0))
         self.assertTrue(engine_placement.stays_open(closing, 0.5))
 
-    def test_an_engine_nearby_is_taken_among_equals(self):
+    def test_a_local_engine_is_chosen_among_equals(self):
         far = view('far', others=3, is_remote=True)
         self.assertEqual('near', choose([far, view('near', others=4)]))
         self.assertEqual('far', choose([far, view('near', others=14)]))
 
-    def test_an_engine_without_room_gets_nothing(self):
+    def test_an_engine_without_headroom_gets_nothing(self):
         self.assertIsNone(choose([view('a', headroom=0)]))
