--- a/packages/burdockchute/burdockchute/decisions/placement.py
+++ b/packages/burdockchute/burdockchute/decisions/placement.py
@@ -1,44 +1,34 @@
-"""Placement: on which instance a request runs.
-
-Load it answers: instances that differ in speed, slow down, come and go, of
-which an entry knows only late what the other entries send them.
-
-Without it, round robin gives the slowest donated machine as much as the
-fastest, so that a pool is as slow as its slowest member; and whoever follows
-late reports to the least loaded instance sends a whole second's burst to
-one place. A prompt that starts like an earlier one is computed anew
-wherever its prefix is not in the cache.
-
-How it decides: an instance's load is what was reported, less what we had
-there at the time, plus what we have there now, so a late report errs only by
-the other entries' change; each answer brings a fresh count. Of the instances
-with room these are compared by expected time: two drawn at random, which
-keeps entries with the same late report from choosing the same place; those
-that are warm for the prompt; and the prompt's home, the one with room that
-comes first by rendezvous hash over its first block. The home is preferred
-even to a warm instance: entries that know nothing of each other's requests
-then send prompts that start alike to the same cache, and each cache holds
-its part of all prompts in place of a little of everything. A block that is
-computed elsewhere also pushes another out there, hence HOME_SHARE over one.
-
-Expected time is service at the instance's own measured speed, plus waiting
-for a slot, plus the prefill that its cache does not save. So a warm instance
-wins unless its queue costs more than the prefill saved.
-
-Thresholds: an instance may hold QUEUE_SHARE over its slots, which hides the
-round trip between one request's end and the next one's start; all else
-waits at the entry, where it can be ordered. At a quarter over, a quiet
-customer's 95th percentile beside a flood was 2.25 times its quiet value
-(trial of make bench-load), as its requests stood in the engines' queues. Its
-window starts at half of the slots and grows by one with each answer, so that
-it is whole after one service time: a fresh instance has a cold cache, and
-one that comes back from a fault would otherwise take a full load at once. A
-failure halves the window, which takes load off a sick instance within two
-failures while one probe always remains. Measured speed moves by a fifth with
-each answer and half-way back to the pool's mean in FORGET_S without one, or
-a slow instance that got nothing any more would be slow for ever. A full
-batch is taken to be FILL_COST slower than an empty one, which is enough to
-prefer the emptier of two and too little to outweigh a warm cache.
+"""On which instance a request runs.
+
+Instances differ in speed, slow down, join and leave, and an entry learns only
+late what the other entries send them. Round robin would give the slowest
+donated machine as much as the fastest, so that a pool is as slow as its
+slowest member. Always choosing the least loaded instance of late reports would
+send the burst of a whole second to one of them. And a prompt that starts like
+an earlier one is computed again wherever its prefix is not in the cache.
+
+An instance's load is what it reported, less what this entry had there at the
+time, plus what it has there now, so a late report is wrong only by the change
+of the other entries; each answer brings a new count. Instances with headroom
+are compared by expected time: two random ones, which keeps entries with the
+same late report from choosing the same instance; those that are warm for the
+prompt; and the prompt's home, which is the first instance with headroom in the
+rendezvous order of the prompt's first block. The home is preferred even to a
+warm instance: entries that know nothing of each other's requests then send
+prompts that start alike to the same cache, and each cache holds its part of
+all prompts instead of a little of everything. A block that is computed
+elsewhere also evicts another one there, hence HOME_PREFERENCE is above one.
+
+The expected time is the service time at the instance's own measured speed,
+plus the wait for a slot, plus the prefill that its cache does not save. So a
+warm instance wins unless its queue costs more than the saved prefill.
+
+An instance may hold QUEUE_SHARE more requests than its slots; all others wait
+at the entry, where they can be ordered. Its window starts at half of its slots
+and grows by one with each answer, so that it is fully open after one service
+time: a new instance has a cold cache, and one that recovers from a fault would
+otherwise get a full load at once. A failure halves the window, which takes
+load off a faulty instance within two failures while one probe always remains.
 """
 
 from __future__ import annotations
@@ -51,31 +41,42 @@
 
 from burdockchute.decisions import hosting
 
+# Hides the round trip between the end of one request and the start of the
+# next. At a quarter, a quiet customer's 95th percentile beside a flood was
+# 2.25 times its quiet value (trial of make bench-load), as its requests waited
+# in the queues of the engines.
 QUEUE_SHARE = 0.05
-FILL_COST = 0.1
-START_SHARE = 0.5
-LEAST_WINDOW = 1.0
-LEAST_START = 2.0
+# A full batch is taken to be slower than an empty one by this: enough to
+# prefer the emptier of two instances, too little to outweigh a warm cache.
+FULL_BATCH_COST = 0.1
+INITIAL_WINDOW_SHARE = 0.5
+MIN_WINDOW = 1.0
+MIN_INITIAL_WINDOW = 2.0
+# Weight of the newest answer in the measured speed.
 SMOOTHING = 0.2
-FORGET_S = 3.0
-HOME_SHARE = 1.5
+# Without answers, the measured speed moves half-way to the mean of the pool in
+# this time; otherwise a slow instance that gets nothing any more would count
+# as slow forever.
+SPEED_HALF_LIFE_S = 3.0
+HOME_PREFERENCE = 1.5
 BLOCK_TOKENS = 64
 
-# Instances report this much of a prefix's digest. Two prefixes that agree in
-# it would only make one request wait for a prefill it was not expected to.
+# Characters of a prefix digest that instances report. Two prefixes that agree
+# in them would only make one request wait for an unexpected prefill.
 PREFIX_CHARS = 16
 
-# What was sent counts as cached until the engine's own account, which comes
-# some seconds late, takes over. Kept for longer it would soon say that
-# everything is cached everywhere: caches forget, and we don't see it.
+# A prefix that was sent counts as cached until the report of the engine, which
+# comes some seconds late, replaces the assumption. If it counted for longer,
+# everything would soon seem cached everywhere, as caches evict entries
+# unnoticed.
 WARM_S = 4.0
-MAX_WARM = 4096
+MAX_SENT_PREFIXES = 4096
 
-# Of what an instance reports, the newest count, for the same reason.
-MAX_REPORTED = 48
+# Newest reported prefixes that count, for the same reason.
+MAX_REPORTED_PREFIXES = 48
 
-# A load report that is older than this says nothing about the other entries
-# any more. Reports come each second or two.
+# An older load report says nothing about the other entries any more. Reports
+# come every second or two.
 REPORT_VALID_S = 5.0
 
 
@@ -89,7 +90,7 @@
 
 
 def truncate_prefixes(prefixes: Iterable[str]) -> tuple[str, ...]:
-    """Give the prefixes as instances report them."""
+    """Return the prefixes in the form that instances report."""
     return tuple(prefix[:PREFIX_CHARS] for prefix in prefixes)
 
 
@@ -108,8 +109,8 @@
         self.long_ours = 0
         self.others = 0
         self.reported_at = now
-        self.window = LEAST_WINDOW
-        self.started = False
+        self.window = MIN_WINDOW
+        self.has_reported = False
         self.unit_s = 0.0
         self.unit_at = now
         self.prefill_tokens_per_s = 0.0
@@ -131,30 +132,32 @@
         prefixes: Iterable[str],
         now: float,
     ) -> None:
-        """Take in what the instance says of itself.
+        """Apply a load report of the instance.
 
         `prefixes` are those stored since its last report, oldest first.
         """
         self.slots = max(1, slots)
-        if not self.started:
-            self.window = max(LEAST_START, self.slots * START_SHARE)
-            self.started = True
+        if not self.has_reported:
+            self.window = max(
+                MIN_INITIAL_WINDOW, self.slots * INITIAL_WINDOW_SHARE
+            )
+            self.has_reported = True
         self.update_in_flight(in_flight, now)
         self.prefill_tokens_per_s = prefill_tokens_per_s
         self.entries = entries
         for prefix in truncate_prefixes(prefixes):
             self._reported[prefix] = None
             self._reported.move_to_end(prefix)
-        while len(self._reported) > MAX_REPORTED:
+        while len(self._reported) > MAX_REPORTED_PREFIXES:
             self._reported.popitem(last=False)
 
     def forget_prefixes(self, prefixes: Iterable[str]) -> None:
-        """Take in which prefixes the instance's cache has lost."""
+        """Remove prefixes that the instance's cache has evicted."""
         for prefix in prefixes:
             self._reported.pop(prefix, None)
 
     def update_in_flight(self, in_flight: int, now: float) -> None:
-        """Take in how many requests are there from all entries."""
+        """Update the number of requests there from all entries."""
         self.others = max(0, in_flight - self.ours)
         self.reported_at = now
 
@@ -165,70 +168,70 @@
         for prefix in work.prefixes:
             self._sent[prefix] = now
             self._sent.move_to_end(prefix)
-        while len(self._sent) > MAX_WARM:
+        while len(self._sent) > MAX_SENT_PREFIXES:
             self._sent.popitem(last=False)
 
     def on_returned(self, work: Work) -> None:
-        """Count a request that came back without having been run."""
+        """Count a request that was returned without having been run."""
         self.ours -= 1
         self.long_ours -= work.is_long
 
     def on_answered(
         self, work: Work, service_s: float, mean_unit_s: float, now: float
     ) -> None:
-        """Count an answer that took so long from sending to its end."""
+        """Count an answer that took `service_s` from sending to its end."""
         self.on_returned(work)
-        self.window = min(self.window + 1, self._most())
-        self._learn(service_s / work.cost, mean_unit_s, now)
+        self.window = min(self.window + 1, self._max_in_flight())
+        self._update_speed(service_s / work.cost, mean_unit_s, now)
 
     def on_failed(
         self, work: Work, service_s: float, mean_unit_s: float, now: float
     ) -> None:
-        """Count a request that was lost or late there after so long."""
+        """Count a request that was lost or late after `service_s`."""
         self.on_returned(work)
-        self.window = max(LEAST_WINDOW, self.window / 2)
+        self.window = max(MIN_WINDOW, self.window / 2)
         unit_s = service_s / work.cost
         if unit_s > self.current_unit_s(mean_unit_s, now):
-            # It takes at least this long; an instance whose answers all come
-            # after the deadline would never be measured otherwise.
-            self._learn(unit_s, mean_unit_s, now)
+            # The request takes at least this long. Otherwise an instance whose
+            # answers all come after the deadline would never be measured.
+            self._update_speed(unit_s, mean_unit_s, now)
 
     def in_flight(self, now: float) -> int:
         """Estimate the requests there from all entries."""
-        fresh = now - self.reported_at <= REPORT_VALID_S
-        return self.ours + (self.others if fresh else 0)
+        is_current = now - self.reported_at <= REPORT_VALID_S
+        return self.ours + (self.others if is_current else 0)
 
     def headroom(self, now: float) -> int:
-        """Give how many more requests may be sent there now."""
+        """Return how many more requests may be sent there now."""
         if self.reserved_for:
             return 0
-        # Whoever fills an instance first would keep it, since each of its
-        # answers frees a slot for its own next request; customers of the
-        # other entries would wait. So each entry may have its even part,
-        # and one that is over its part gets no more until there is room.
-        even = self.slots // self.entries - self.ours
-        by_slots = max(even, self._most() - self.in_flight(now))
+        # The entry that fills an instance first would keep it, since each
+        # answer frees a slot for its own next request; the customers of the
+        # other entries would wait. So each entry may have its even share, and
+        # an entry beyond its share gets more only while slots are free.
+        even_share = self.slots // self.entries - self.ours
+        by_slots = max(even_share, self._max_in_flight() - self.in_flight(now))
         return max(0, int(min(by_slots, self.window - self.ours)))
 
     def accepts_long(self, long_share: float) -> bool:
-        """Tell whether long work has not yet taken its part here.
+        """Whether long work may take one more slot here.
 
-        What the other entries have here may be long as well, so the part is
-        of what they leave: two entries with half of all slots each would
-        together fill the instance with long work.
+        The requests of other entries may be long as well, so the share is
+        taken of the slots that they leave: two entries with half of all slots
+        each would together fill the instance with long work.
         """
         ours = self.slots - self.others
         return self.long_ours < max(1, int(ours * long_share))
 
     def current_unit_s(self, mean_unit_s: float, now: float) -> float:
-        """Give the time per unit of work, drawn to the mean with age."""
+        """Return the time per unit of work, pulled to the mean with age."""
         if not self.unit_s:
             return mean_unit_s
-        keep = 0.5 ** (max(0.0, now - self.unit_at) / FORGET_S)
+        keep = 0.5 ** (max(0.0, now - self.unit_at) / SPEED_HALF_LIFE_S)
         return keep * self.unit_s + (1 - keep) * mean_unit_s
 
     def warm_tokens(self, work: Work, now: float) -> int:
-        """Give how many tokens of a prompt are likely in the cache."""
+        """Return how many tokens of a prompt are likely to be cached."""
         for blocks in range(len(work.prefixes), 0, -1):
             prefix = work.prefixes[blocks - 1]
             sent_at = self._sent.get(prefix, -WARM_S)
@@ -236,14 +239,16 @@
                 return blocks * BLOCK_TOKENS
         return 0
 
-    def _learn(self, unit_s: float, mean_unit_s: float, now: float) -> None:
+    def _update_speed(
+        self, unit_s: float, mean_unit_s: float, now: float
+    ) -> None:
         known = self.current_unit_s(mean_unit_s, now)
         if known:
             unit_s = (1 - SMOOTHING) * known + SMOOTHING * unit_s
         self.unit_s = unit_s
         self.unit_at = now
 
-    def _most(self) -> float:
+    def _max_in_flight(self) -> float:
         return self.slots + int(self.slots * QUEUE_SHARE)
 
 
@@ -254,7 +259,7 @@
     now: float,
     rng: random.Random,
 ) -> InstanceLoad | None:
-    """Give the instance for a request, None where none has room."""
+    """Return the instance for a request, None if none has headroom."""
     free = [load for load in loads if load.headroom(now) > 0]
     if not free:
         return None
@@ -290,18 +295,18 @@
     if load.prefill_tokens_per_s > 0:
         warm_tokens: float = load.warm_tokens(work, now)
         if is_home:
-            warm_tokens = HOME_SHARE * len(work.prefixes) * BLOCK_TOKENS
+            warm_tokens = HOME_PREFERENCE * len(work.prefixes) * BLOCK_TOKENS
         cold_tokens = work.prompt_tokens - warm_tokens
         prefill_s = cold_tokens / load.prefill_tokens_per_s
-    return service_s * (1 + FILL_COST * filled + waits) + prefill_s
+    return service_s * (1 + FULL_BATCH_COST * filled + waits) + prefill_s
 
 
 def accepting_long(
     loads: Iterable[InstanceLoad], long_share: float
 ) -> tuple[InstanceLoad, ...]:
-    """Give the instances that may take long work now.
+    """Return the instances that may take long work now.
 
-    Long work holds a slot for as long as many short requests would; at most
-    `long_share` of an instance's slots go to it, but always one.
+    Long work holds a slot for as long as many short requests would, so at most
+    `long_share` of the slots of an instance go to it, but always one.
     """
     return tuple(load for load in loads if load.accepts_long(long_share))
--- a/packages/burdockchute/tests/decisions/test_placement.py
+++ b/packages/burdockchute/tests/decisions/test_placement.py
@@ -29,8 +29,8 @@
         return chosen.name if chosen else None
 
     def test_late_report_counts_what_was_sent_since(self):
-        # Both reported themselves idle a while ago. Whoever believes that
-        # sends a whole burst to one of them.
+        # Both reported no load a while ago. An entry that relies on that sends
+        # a whole burst to one of them.
         loads = [load_of('a'), load_of('b')]
         for _ in range(8):
             name = self.choose(loads)
@@ -39,7 +39,7 @@
             )
         self.assertEqual([4, 4], [load.ours for load in loads])
 
-    def test_old_report_of_others_load_is_forgotten(self):
+    def test_old_report_of_other_entries_load_is_ignored(self):
         loads = [load_of('a', in_flight=10)]
         self.assertIsNone(self.choose(loads, now=1.0))
         self.assertEqual('a', self.choose(loads, now=10.0))
@@ -56,9 +56,9 @@
         loads[warm].apply_report(9, 8, 99, 100.0, ('p1', 'p2'), 0.0)
         self.assertIn(self.choose(list(loads.values()), WARM), cold)
 
-    def test_entries_send_prompts_that_start_alike_to_one_place(self):
-        # Neither entry has seen the other's requests; were each to choose
-        # by itself, every cache would hold a little of everything.
+    def test_entries_send_prompts_that_start_alike_to_one_instance(self):
+        # Neither entry has seen the requests of the other. If each chose on
+        # its own, every cache would hold a little of everything.
         chosen = set()
         for seed in range(10):
             loads = [load_of(name) for name in 'abcdef']
@@ -74,8 +74,8 @@
         self.assertFalse(load.accepts_long(0.5))
 
     def test_prefix_counts_until_the_report_would_show_it(self):
-        # Caches forget. What was once sent and is not reported any more
-        # must not draw requests to a place that computes them anew.
+        # Caches evict prefixes. One that was sent once and is not reported any
+        # more must not draw requests to an instance that computes it again.
         load = load_of('a')
         load.on_sent(WARM, 0.0)
         self.assertEqual(128, load.warm_tokens(WARM, 1.0))
@@ -83,7 +83,7 @@
         load.apply_report(0, 8, 1, 100.0, ('p1',), 5.0)
         self.assertEqual(64, load.warm_tokens(WARM, 5.0))
 
-    def test_entry_gets_its_even_part_of_a_full_instance(self):
+    def test_entry_gets_its_even_share_of_a_full_instance(self):
         # The other entry was first and has every slot.
         load = load_of('a')
         load.apply_report(8, 8, 2, 100.0, (), 0.0)
@@ -92,7 +92,7 @@
             load.on_sent(WORK, 0.0)
         self.assertEqual(0, load.headroom(0.0))
 
-    def test_failures_take_load_off_and_leave_a_probe(self):
+    def test_failures_reduce_load_and_leave_a_probe(self):
         load = load_of('a')
         load.window = 8.0
         for _ in range(5):
