--- a/packages/burdockchute-entry/burdockchute_entry/straight/exchange.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/exchange.py
@@ -198,7 +198,9 @@
         sender, target = self.sender, sent.slot.target
         earlier = self._in_flight[: self._in_flight.index(sent)]
         if any(not other.conn.is_quiet() for other in earlier):
-            raise UpstreamSilent('an earlier upstream answers', False)
+            raise UpstreamSilent(
+                'an earlier upstream has started to answer', False
+            )
         if not sender.pending.avoids(target):
             sender.mark_silent(sent)
         while self._may_try_another():
--- a/packages/burdockchute-entry/burdockchute_entry/straight/handover.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/handover.py
@@ -195,10 +195,12 @@
         if head is None:
             raise Broken('no answer in time', False)
         if head.status != OK or not head.is_stream or not head.sealed:
-            raise Broken(f'status {head.status} for the rest', False)
+            raise Broken(f'status {head.status} for the remainder', False)
         if None not in (head.version, self._head.version):
             if head.version != self._head.version:
-                raise Broken(f'the rest is of version {head.version}', False)
+                raise Broken(
+                    f'the remainder is of version {head.version}', False
+                )
         return head
 
 
--- a/packages/burdockchute-entry/burdockchute_entry/straight/sending.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/sending.py
@@ -252,7 +252,7 @@
         while data := read_next():
             size += len(data)
             if size > MAX_ANSWER_BYTES:
-                raise Broken(f'an answer over {MAX_ANSWER_BYTES} bytes', False)
+                raise Broken(f'answer exceeds {MAX_ANSWER_BYTES} bytes', False)
             parts.append(data)
         return None if data is None else b''.join(parts)
 
@@ -306,7 +306,9 @@
         if sent.conn in self._started:
             return
         if versions.must_cancel(sent.start_by, sent.sent_at, now):
-            raise WeightsReplaced('its weights are replaced', False)
+            raise WeightsReplaced(
+                'weights were replaced before the start', False
+            )
 
     # Ends.
 
--- a/packages/burdockchute-entry/burdockchute_entry/straight/streams.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/streams.py
@@ -131,7 +131,7 @@
                 self._replace_broken_run(exc)
                 continue
             if batch is None:
-                raise StreamBroken('its time is over')
+                raise StreamBroken('deadline exceeded')
             self._on_batch_received()
             return batch
 
@@ -290,13 +290,13 @@
             # The current run goes on and decides where the stream ends.
             self._sender.abandon(continuation.run.sent)
             self._keep_current_run()
-            return NoContinuation('the rest is empty')
+            return NoContinuation('the remainder is empty')
         self._handover_tried_at = None
         before = ''
         if self._run is not None:
             before = self._run.upstream
             if handover.is_move:
-                reason = 'its engine is to load'
+                reason = 'its engine waits to load weights'
                 self._record_interruption(before, 'closing', reason)
             self._sender.abandon(self._detach_run())
         event = 'stream_moved' if handover.is_move else 'stream_resumed'
