--- a/packages/burdockchute-entry/burdockchute_entry/straight/scheduler.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/scheduler.py
@@ -230,9 +230,10 @@
     def reserve_slot(
         self, pending: PendingRequest, within_s: float, remainder_s: float
     ) -> Slot | None:
-        """Return a slot where the answer continues within a time, or None.
+        """Return a slot where the answer resumes in `within_s`, or None.
 
-        The engine must accept requests for the remainder of the answer.
+        The engine must stay open for the `remainder_s` that the remainder of
+        the answer takes.
         """
         now = self._now()
         cost = self._known.cost(pending.spec.service)
