--- a/packages/burdockchute-agent/burdockchute_agent/staged/app.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/app.py
@@ -168,13 +168,13 @@
     def _update_desired_state(
         self, link: links.Link, news: messages.WishesNews, now: float
     ) -> None:
-        needs = needs_heard(news.needs)
+        requirements = needs_heard(news.needs)
         self._desired_state_sources.update(
-            link, news.in_contact and needs is not None, now
+            link, news.in_contact and requirements is not None, now
         )
         self.follower.hear(heard_of(news.named, now))
-        if needs is not None:
-            self.follower.hear_needs(needs)
+        if requirements is not None:
+            self.follower.hear_needs(requirements)
 
     def _desired_state_cadence(self) -> Cadence | None:
         must_read = self._desired_state_sources.must_read_store(
@@ -188,12 +188,12 @@
         )
         self.staged.bounds = self._machine.bounds
 
-    def _known_state_changed(self, beliefs: Beliefs) -> None:
-        self.staged.inbox.put(beliefs)
+    def _known_state_changed(self, known_state: Beliefs) -> None:
+        self.staged.inbox.put(known_state)
 
     def _slots(self) -> int:
-        needs = self.follower.beliefs.needs(self._machine.service)
-        return needs.slots if needs else 0
+        requirements = self.follower.beliefs.needs(self._machine.service)
+        return requirements.slots if requirements else 0
 
     def _probe(self) -> http_admin.Probe:
         return http_admin.Probe(True, '')
--- a/packages/burdockchute-agent/burdockchute_agent/staged/reports_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/reports_task.py
@@ -40,13 +40,13 @@
         self,
         staged: StagedTask,
         slots: Callable[[], int],
-        beliefs: Callable[[], Beliefs],
+        known_state: Callable[[], Beliefs],
         name: str,
     ) -> None:
         self.entries: dict[links.Link, None] = {}
         self._staged = staged
         self._slots = slots
-        self._beliefs = beliefs
+        self._known_state = known_state
         self._reported_histories: Mapping[str, History] = {}
         self._name = name
         self._reported: messages.LoadReport | None = None
@@ -62,9 +62,9 @@
         """Add a new link to an entry and send the full state over it."""
         self.entries[link] = None
         report = self.current_report()
-        beliefs = self._beliefs()
-        report.named = news_of(beliefs.histories, time.monotonic())
-        report.configuration = beliefs.newest_configuration()
+        known_state = self._known_state()
+        report.named = news_of(known_state.histories, time.monotonic())
+        report.configuration = known_state.newest_configuration()
         self._send_frame(link, links.frame_of(report))
 
     def closed(self, link: links.Link) -> None:
@@ -125,7 +125,7 @@
     def report_changes(self, now: float) -> None:
         """Send all entries a report if it changed or the last one is old."""
         current = self.current_report()
-        histories = self._beliefs().histories
+        histories = self._known_state().histories
         has_new_versions = histories != self._reported_histories
         is_due = (
             current != self._reported
--- a/packages/burdockchute-agent/burdockchute_agent/staged/staged_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/staged_task.py
@@ -92,7 +92,7 @@
         machine: Machine,
         adapter: Adapter,
         hello: Callable[[], messages.Hello],
-        beliefs: Callable[[], Beliefs],
+        known_state: Callable[[], Beliefs],
         now: Callable[[], float],
         rng: random.Random,
     ) -> None:
@@ -102,7 +102,7 @@
         self.bounds = machine.bounds
         self._machine = machine
         self._adapter = adapter
-        self._beliefs = beliefs
+        self._known_state = known_state
         self._now = now
         self._engine: Engine = adapter.engine(machine.upstream)
         self._own = Member(
@@ -168,7 +168,7 @@
             self.report,
             self._rollouts.values(),
             self._copies,
-            lambda model: self._beliefs().history(model),
+            lambda model: self._known_state().history(model),
             self.bounds.version_s,
             self._machine.link_bytes_per_s,
             self._predecessor,
@@ -281,11 +281,11 @@
         return self._copies.tick(now)
 
     def _models(self) -> list[str]:
-        needs = self._beliefs().needs(self._machine.service)
-        return list(needs.models) if needs else []
+        requirements = self._known_state().needs(self._machine.service)
+        return list(requirements.models) if requirements else []
 
     def _step_model(self, rollout: Rollout, now: float) -> None:
-        history = self._beliefs().history(rollout.model)
+        history = self._known_state().history(rollout.model)
         rollout.update_ready(self._copies)
         rollout.choose_versions(
             history, self._copies, self.bounds.version_s, now
@@ -328,7 +328,7 @@
         # A load interrupts nothing if no version is loaded yet.
         if engine.version is None or rollout.ready is None:
             return True
-        history = self._beliefs().history(rollout.model)
+        history = self._known_state().history(rollout.model)
         named_at = versions.named_at(history, rollout.ready)
         if staging.must_load(named_at, self.bounds.version_s, now):
             return True
@@ -389,16 +389,16 @@
 
     # Peers.
 
-    def _service_agents(self, beliefs: Beliefs) -> list[Member]:
+    def _service_agents(self, known_state: Beliefs) -> list[Member]:
         machine = self._machine
         return [
             agent_beside(upstream, machine.link_ports[0], machine.regions)
-            for upstream in beliefs.present()
+            for upstream in known_state.present()
             if upstream.service == machine.service
         ]
 
-    def _update_peers(self, beliefs: Beliefs) -> None:
-        members = {m.name: m for m in self._service_agents(beliefs)}
+    def _update_peers(self, known_state: Beliefs) -> None:
+        members = {m.name: m for m in self._service_agents(known_state)}
         all_members = {**members, self._own.name: self._own}
         self._hosts = tuple(sorted(all_members))
         self._region_hosts = tuple(
@@ -416,10 +416,10 @@
     # The origin and the staging area.
 
     def _open_origin(self) -> OriginClient:
-        needs = self._beliefs().needs(self._machine.service)
-        if needs is None or not needs.origin:
+        requirements = self._known_state().needs(self._machine.service)
+        if requirements is None or not requirements.origin:
             return NoOrigin()
-        address = self._adapter.endpoint(needs.origin)
+        address = self._adapter.endpoint(requirements.origin)
         return PlatformOrigin(self._adapter.origin(address))
 
     def _scan_staging_area(self, model: str, name: str, now: float) -> None:
