--- a/packages/burdockchute-agent/burdockchute_agent/rows_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/rows_task.py
@@ -40,7 +40,7 @@
         self, publish: Publish, clock: Callable[[], float] = time.monotonic
     ) -> None:
         self.inbox: queue.Queue = queue.Queue()
-        self.table: Table = tables.EMPTY
+        self.table: Table = tables.EMPTY_TABLE
         self.members: tuple[Member, ...] = ()
         self._publish = publish
         self._clock = clock
--- a/packages/burdockchute-agent/burdockchute_agent/staged/app.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/app.py
@@ -20,7 +20,7 @@
 from burdockchute.following import longest_wait_s
 from burdockchute.following import SETTLING_S
 from burdockchute.lifetime import Lifetime
-from burdockchute.model.beliefs import Beliefs
+from burdockchute.model.known_state import KnownState
 from burdockchute.model.machines import Machine
 from burdockchute.nodes import links
 from burdockchute.nodes.wishes_news import heard_of
@@ -73,14 +73,14 @@
             machine,
             adapter,
             self.lifetime.hello,
-            lambda: self.follower.beliefs,
+            lambda: self.follower.known_state,
             time.monotonic,
             rng,
         )
         self.reports = ReportsTask(
             self.staged,
             self._slots,
-            lambda: self.follower.beliefs,
+            lambda: self.follower.known_state,
             self._name,
         )
         self.inbox: queue.Queue = queue.Queue()
@@ -188,11 +188,13 @@
         )
         self.staged.bounds = self._machine.bounds
 
-    def _known_state_changed(self, known_state: Beliefs) -> None:
+    def _known_state_changed(self, known_state: KnownState) -> None:
         self.staged.inbox.put(known_state)
 
     def _slots(self) -> int:
-        requirements = self.follower.beliefs.needs(self._machine.service)
+        requirements = self.follower.known_state.agent_requirements(
+            self._machine.service
+        )
         return requirements.slots if requirements else 0
 
     def _probe(self) -> http_admin.Probe:
--- a/packages/burdockchute-agent/burdockchute_agent/staged/loading.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/loading.py
@@ -15,8 +15,8 @@
 
 from burdockchute import logs
 from burdockchute.adapters import Engine
-from burdockchute.model.engines import Load
-from burdockchute.model.engines import OrderEnd
+from burdockchute.model.engines import LoadOrder
+from burdockchute.model.engines import OrderOutcome
 from burdockchute.weights import manifest as manifests
 from burdockchute.weights.copies import Copy
 
@@ -45,7 +45,7 @@
 
     model: str
     version: int
-    end: OrderEnd | None
+    end: OrderOutcome | None
     reason: str
 
 
@@ -132,5 +132,5 @@
     report = result.unwrap()
     if report.loading:
         return LoadEnded(model, version, None, 'engine is loading already')
-    end = engine.load(Load(model, version, report.sequence))
+    end = engine.load(LoadOrder(model, version, report.sequence))
     return LoadEnded(model, version, end, '')
--- a/packages/burdockchute-agent/burdockchute_agent/staged/reports_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/reports_task.py
@@ -10,7 +10,7 @@
 import gevent
 
 from burdockchute.decisions.versions import History
-from burdockchute.model.beliefs import Beliefs
+from burdockchute.model.known_state import KnownState
 from burdockchute.nodes import links
 from burdockchute.nodes.wishes_news import news_of
 from burdockchute.wire import messages
@@ -40,7 +40,7 @@
         self,
         staged: StagedTask,
         slots: Callable[[], int],
-        known_state: Callable[[], Beliefs],
+        known_state: Callable[[], KnownState],
         name: str,
     ) -> None:
         self.entries: dict[links.Link, None] = {}
@@ -64,7 +64,7 @@
         report = self.current_report()
         known_state = self._known_state()
         report.named = news_of(known_state.histories, time.monotonic())
-        report.configuration = known_state.newest_configuration()
+        report.configuration = known_state.newest_configuration_version()
         self._send_frame(link, links.frame_of(report))
 
     def closed(self, link: links.Link) -> None:
--- a/packages/burdockchute-agent/burdockchute_agent/staged/staged_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/staged_task.py
@@ -24,10 +24,10 @@
 from burdockchute.decisions import staging
 from burdockchute.decisions import versions
 from burdockchute.decisions.neighbours import neighbours
-from burdockchute.model.beliefs import Beliefs
 from burdockchute.model.engines import CallFailed
 from burdockchute.model.engines import EngineReport
-from burdockchute.model.engines import OrderEnd
+from burdockchute.model.engines import OrderOutcome
+from burdockchute.model.known_state import KnownState
 from burdockchute.model.machines import Machine
 from burdockchute.model.members import Member
 from burdockchute.nodes.agents import agent_beside
@@ -92,7 +92,7 @@
         machine: Machine,
         adapter: Adapter,
         hello: Callable[[], messages.Hello],
-        known_state: Callable[[], Beliefs],
+        known_state: Callable[[], KnownState],
         now: Callable[[], float],
         rng: random.Random,
     ) -> None:
@@ -184,7 +184,7 @@
 
     def _handle(self, message: object) -> None:
         match message:
-            case Beliefs():
+            case KnownState():
                 self._update_peers(message)
             case EnginePolled(result=result):
                 self._engine_polled(result)
@@ -249,7 +249,7 @@
         rollout = self._rollouts[ended.model]
         rollout.load_in_progress = False
         now = self._now()
-        if ended.end in (None, OrderEnd.REFUSED):
+        if ended.end in (None, OrderOutcome.REFUSED):
             rollout.ordered_at = None
             rollout.retry_load_at = now + staging.ORDER_RETRY_S
         else:
@@ -281,7 +281,9 @@
         return self._copies.tick(now)
 
     def _models(self) -> list[str]:
-        requirements = self._known_state().needs(self._machine.service)
+        requirements = self._known_state().agent_requirements(
+            self._machine.service
+        )
         return list(requirements.models) if requirements else []
 
     def _step_model(self, rollout: Rollout, now: float) -> None:
@@ -389,15 +391,15 @@
 
     # Peers.
 
-    def _service_agents(self, known_state: Beliefs) -> list[Member]:
+    def _service_agents(self, known_state: KnownState) -> list[Member]:
         machine = self._machine
         return [
             agent_beside(upstream, machine.link_ports[0], machine.regions)
-            for upstream in known_state.present()
+            for upstream in known_state.present_upstreams()
             if upstream.service == machine.service
         ]
 
-    def _update_peers(self, known_state: Beliefs) -> None:
+    def _update_peers(self, known_state: KnownState) -> None:
         members = {m.name: m for m in self._service_agents(known_state)}
         all_members = {**members, self._own.name: self._own}
         self._hosts = tuple(sorted(all_members))
@@ -416,7 +418,9 @@
     # The origin and the staging area.
 
     def _open_origin(self) -> OriginClient:
-        requirements = self._known_state().needs(self._machine.service)
+        requirements = self._known_state().agent_requirements(
+            self._machine.service
+        )
         if requirements is None or not requirements.origin:
             return NoOrigin()
         address = self._adapter.endpoint(requirements.origin)
--- a/packages/burdockchute-agent/burdockchute_agent/weights_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/weights_task.py
@@ -31,7 +31,7 @@
 from burdockchute.model.changes import TableChanged
 from burdockchute.model.members import Member
 from burdockchute.model.members import Place
-from burdockchute.model.table import EMPTY
+from burdockchute.model.table import EMPTY_TABLE
 from burdockchute.model.table import Table
 from burdockchute.nodes.peers import Peers
 from burdockchute.upstreams.gate import Gate
@@ -102,7 +102,7 @@
         self._register = register
         self._source = source
         self._services = frozenset(services)
-        self._table: Table = EMPTY
+        self._table: Table = EMPTY_TABLE
         self._members: tuple[Member, ...] = ()
         now = time.monotonic()
         rng = random.Random(seed)
--- a/packages/burdockchute-agent/tests/test_rows_task.py
+++ b/packages/burdockchute-agent/tests/test_rows_task.py
@@ -40,7 +40,7 @@
     def send_table(
         self, link: FakeLink, table: Table, age_ms: int = 0
     ) -> None:
-        delta = deltas.whole(table)
+        delta = deltas.full_table(table)
         delta.age_ms = age_ms
         self.receive(link, delta)
 
--- a/packages/burdockchute-agent/tests/test_staged.py
+++ b/packages/burdockchute-agent/tests/test_staged.py
@@ -9,7 +9,7 @@
 
 from burdockchute.model.engines import CallFailed
 from burdockchute.model.engines import EngineReport
-from burdockchute.model.engines import OrderEnd
+from burdockchute.model.engines import OrderOutcome
 from burdockchute.weights import manifest as manifests
 from burdockchute.weights.copies import Copy
 from burdockchute_agent.region_imports import RegionImports
@@ -51,7 +51,7 @@
     def load(self, order):
         self.orders.append(order)
         self.loaded = b''.join(self.chunks[i] for i in sorted(self.chunks))
-        return OrderEnd.BEGUN
+        return OrderOutcome.STARTED
 
     def _count(self):
         self.calls += 1
@@ -76,7 +76,7 @@
 
     def test_complete_copy_is_staged_and_loaded(self):
         ended = self.load()
-        self.assertEqual(OrderEnd.BEGUN, ended.end)
+        self.assertEqual(OrderOutcome.STARTED, ended.end)
         self.assertEqual(CONTENT, self.engine.loaded)
         self.assertEqual([4], [o.sequence for o in self.engine.orders])
 
--- a/packages/burdockchute-agent/tests/test_staged_reports.py
+++ b/packages/burdockchute-agent/tests/test_staged_reports.py
@@ -6,8 +6,8 @@
 from unittest import mock
 
 from burdockchute.decisions import versions
-from burdockchute.model.beliefs import Beliefs
-from burdockchute.model.needs import Needs
+from burdockchute.model.agent_requirements import AgentRequirements
+from burdockchute.model.known_state import KnownState
 from burdockchute.nodes import links
 from burdockchute.wire import messages
 from burdockchute_agent.staged import reports_task
@@ -53,7 +53,10 @@
         self.task = reports_task.ReportsTask(
             self.staged,
             lambda: 4,
-            lambda: Beliefs(histories=self.histories, told=self.requirements),
+            lambda: KnownState(
+                histories=self.histories,
+                reported_requirements=self.requirements,
+            ),
             '127.0.0.1:1',
         )
 
@@ -67,7 +70,7 @@
         first, second = FakeLink(), FakeLink()
         self.task.opened(first)
         self.assertEqual(0, first.frames[-1].configuration)
-        self.requirements = Needs(7, ('story',), 4, '10.0.0.8:80')
+        self.requirements = AgentRequirements(7, ('story',), 4, '10.0.0.8:80')
         self.task.opened(second)
         self.assertEqual(7, second.frames[-1].configuration)
 
--- a/packages/burdockchute-entry/burdockchute_entry/admission_control.py
+++ b/packages/burdockchute-entry/burdockchute_entry/admission_control.py
@@ -89,7 +89,7 @@
 
 def rate_of(customer: str, table: Table) -> RateLimit | None:
     """Give the limit in a customer's row, for all entries together."""
-    row = tables.row_of(table, CustomerRow, customer)
+    row = tables.find_row(table, CustomerRow, customer)
     if row is None:
         return None
     return RateLimit(row.requests_per_s, row.tokens_per_s, row.burst_s)
--- a/packages/burdockchute-entry/burdockchute_entry/app.py
+++ b/packages/burdockchute-entry/burdockchute_entry/app.py
@@ -111,7 +111,7 @@
         return self.table_task.table
 
     def _delta_for_agent(self, offset: int) -> messages.TableDelta:
-        return deltas.for_agents(self.table_task.delta_for(offset))
+        return deltas.filter_for_agents(self.table_task.delta_for(offset))
 
     def table_offset(self) -> int:
         """Give the highest offset applied."""
--- a/packages/burdockchute-entry/burdockchute_entry/claims_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/claims_task.py
@@ -24,7 +24,7 @@
 from burdockchute.model.claims import ClaimDecided
 from burdockchute.model.claims import ClaimFinished
 from burdockchute.model.claims import ClaimReleased
-from burdockchute.model.claims import ClaimWanted
+from burdockchute.model.claims import ClaimRequested
 from burdockchute.model.claims import Held
 from burdockchute.model.claims import OtherBody
 from burdockchute.model.claims import OutsideWindow
@@ -69,7 +69,7 @@
 
 
 class _Asked(NamedTuple):
-    wanted: ClaimWanted
+    wanted: ClaimRequested
     due: float
     gathers: str
 
@@ -110,7 +110,7 @@
         self._asked: dict[str, _Asked] = {}
         self._unsettled: dict[tuple[str, str], _Unsettled] = {}
         self._handlers: dict[type, Callable[[Any], None]] = {
-            ClaimWanted: self._wanted,
+            ClaimRequested: self._wanted,
             ClaimReleased: self._released,
             ClaimFinished: self._finished,
             MembersChanged: self._members_changed,
@@ -157,7 +157,7 @@
 
     # For the router of this entry.
 
-    def _wanted(self, event: ClaimWanted) -> None:
+    def _wanted(self, event: ClaimRequested) -> None:
         ctx = event.ctx
         issued_at = parse.issued_at(ctx.idempotency_key) or 0.0
         outside = claims.outside_window(
@@ -196,7 +196,7 @@
         self._tell(asked.wanted, verdict)
         self._settle(_act(claims.RELEASE, asked.wanted.ctx, attempt_id))
 
-    def _tell(self, wanted: ClaimWanted, verdict: Verdict) -> None:
+    def _tell(self, wanted: ClaimRequested, verdict: Verdict) -> None:
         wanted.replies.put(
             ClaimDecided(wanted.ctx.request_id, wanted.attempt_id, verdict)
         )
--- a/packages/burdockchute-entry/burdockchute_entry/completion.py
+++ b/packages/burdockchute-entry/burdockchute_entry/completion.py
@@ -12,10 +12,10 @@
 from burdockchute.model.outcomes import NotRun
 from burdockchute.model.outcomes import Outcome
 from burdockchute.model.outcomes import Unknown
-from burdockchute.model.replies import Began
+from burdockchute.model.replies import AnswerStarted
 from burdockchute.model.replies import Done
-from burdockchute.model.replies import Finished
 from burdockchute.model.replies import Part
+from burdockchute.model.replies import RequestSummary
 from burdockchute_entry.attempts import Request
 
 LOST_STATUS = 502
@@ -24,7 +24,7 @@
 def pass_on(request: Request, parts: list[bytes], now: float) -> None:
     """Give parts of the answer to the caller."""
     if not request.passed_on:
-        request.replies.put(Began(*request.pinned))
+        request.replies.put(AnswerStarted(*request.pinned))
     if request.first_part_at is None:
         request.first_part_at = now
     for data in parts:
@@ -59,13 +59,13 @@
     request: Request,
     outcome: Outcome,
     now: float,
-    observe: Callable[[Finished], None],
+    observe: Callable[[RequestSummary], None],
 ) -> None:
     """Give the final outcome to the caller, the metrics and the log."""
     ctx = request.ctx
     request.replies.put(Done(outcome))
     first_at = request.first_part_at
-    finished = Finished(
+    finished = RequestSummary(
         ctx=ctx,
         outcome=outcome,
         first_part_s=None if first_at is None else first_at - ctx.arrived,
--- a/packages/burdockchute-entry/burdockchute_entry/crashes_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/crashes_task.py
@@ -16,8 +16,8 @@
 
 from burdockchute import logs
 from burdockchute.decisions import suspects
-from burdockchute.model.crashes import CrashLearned
-from burdockchute.model.crashes import CrashSeen
+from burdockchute.model.crash_reports import CrashReport
+from burdockchute.model.crash_reports import PeerCrashReport
 from burdockchute.platform import log as platform_log
 from burdockchute.platform.log import Log
 
@@ -34,12 +34,12 @@
 
 
 class CrashesTask:
-    """Takes CrashSeen in `inbox`; `publish` gets each CrashLearned."""
+    """Takes CrashReport in `inbox`; `publish` gets each PeerCrashReport."""
 
     def __init__(
         self,
         log: Log,
-        publish: Callable[[CrashLearned], None],
+        publish: Callable[[PeerCrashReport], None],
         now: Callable[[], float],
         now_unix: Callable[[], float],
     ) -> None:
@@ -64,7 +64,7 @@
             if not self._read():
                 gevent.sleep(RETRY_S)
 
-    def _append(self, seen: CrashSeen) -> None:
+    def _append(self, seen: CrashReport) -> None:
         data = encode(seen, self._writer, self._now_unix())
         until = self._now() + KEEP_TRYING_S
         while self._now() < until:
@@ -99,24 +99,26 @@
             self._publish(learned)
 
 
-def encode(seen: CrashSeen, writer: str, now_unix: float) -> str:
+def encode(seen: CrashReport, writer: str, now_unix: float) -> str:
     """Give the log record of a crash."""
     document = {'v': FORMAT, 'writer': writer, 'at': now_unix}
     return json.dumps(document | seen._asdict(), separators=(',', ':'))
 
 
-def decode(data: str, writer: str, now_unix: float) -> CrashLearned | None:
+def decode(data: str, writer: str, now_unix: float) -> PeerCrashReport | None:
     """Give what a record tells, None for our own and unreadable ones."""
     try:
         document: Any = json.loads(data)
         if document['v'] != FORMAT or document['writer'] == writer:
             return None
-        seen = CrashSeen(
+        seen = CrashReport(
             str(document['fingerprint']),
             str(document['upstream']),
             bool(document['alone']),
             bool(document['convicted']),
         )
-        return CrashLearned(seen, max(0.0, now_unix - float(document['at'])))
+        return PeerCrashReport(
+            seen, max(0.0, now_unix - float(document['at']))
+        )
     except (ValueError, KeyError, TypeError, RecursionError):
         return None
--- a/packages/burdockchute-entry/burdockchute_entry/dispatcher.py
+++ b/packages/burdockchute-entry/burdockchute_entry/dispatcher.py
@@ -57,7 +57,7 @@
         self._refuse = refuse
         self._name = name
         self.entries: list[str] = []
-        self._table: Table = tables.EMPTY
+        self._table: Table = tables.EMPTY_TABLE
         self._pools: dict[str, Pool] = {}
         self._policy = retries.DEFAULT_POLICY
         self._budget = retries.full_budget(now())
@@ -77,7 +77,7 @@
         if instance is None:
             return
         rows = [
-            tables.row_of(self._table, ServiceRow, name)
+            tables.find_row(self._table, ServiceRow, name)
             for name in report.services or ()
         ]
         slots = [row.slots for row in rows if row is not None]
--- a/packages/burdockchute-entry/burdockchute_entry/fleet.py
+++ b/packages/burdockchute-entry/burdockchute_entry/fleet.py
@@ -194,7 +194,7 @@
     if ctx.kind == 'model':
         return ctx.target
     if ctx.kind == 'adapter':
-        adapter = tables.row_of(table, AdapterRow, ctx.target)
+        adapter = tables.find_row(table, AdapterRow, ctx.target)
         return adapter.base if adapter else ''
     return ''
 
--- a/packages/burdockchute-entry/burdockchute_entry/limits_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/limits_task.py
@@ -63,7 +63,7 @@
         self._send_to = send_to
         self._publish = publish
         self._now = now
-        self._table: Table = tables.EMPTY
+        self._table: Table = tables.EMPTY_TABLE
         self._entries = [name]
         self._told: dict[str, dict[str, _Told]] = {}
         self._shares: dict[str, Share] = {}
@@ -104,7 +104,7 @@
             for entry, told in self._told[customer].items()
             if now - told.at <= limits.SHARE_VALID_S
         }
-        row = tables.row_of(self._table, CustomerRow, customer)
+        row = tables.find_row(self._table, CustomerRow, customer)
         if not fresh or row is None:
             del self._told[customer]
             return {}
--- a/packages/burdockchute-entry/burdockchute_entry/pools.py
+++ b/packages/burdockchute-entry/burdockchute_entry/pools.py
@@ -80,11 +80,11 @@
         """Take the limits of the row."""
         kind, _slash, name = self.key.partition('/')
         if kind == 'service':
-            service = tables.row_of(table, ServiceRow, name)
+            service = tables.find_row(table, ServiceRow, name)
             if service is not None:
                 self.queue.max_waiting = service.max_waiting
             return
-        model = tables.row_of(table, ModelRow, name)
+        model = tables.find_row(table, ModelRow, name)
         if model is not None:
             self.queue.max_waiting = model.max_waiting
             self.long_tokens = model.long_tokens
--- a/packages/burdockchute-entry/burdockchute_entry/request_metrics.py
+++ b/packages/burdockchute-entry/burdockchute_entry/request_metrics.py
@@ -11,7 +11,7 @@
 from burdockchute.model.outcomes import Answered
 from burdockchute.model.outcomes import name_of
 from burdockchute.model.outcomes import NotRun
-from burdockchute.model.replies import Finished
+from burdockchute.model.replies import RequestSummary
 from burdockchute.model.rows import ObjectiveRow
 from burdockchute.model.table import Table
 from burdockchute.operators import burn as reports
@@ -42,7 +42,7 @@
             description='mean of each streamed request',
         )
 
-    def finished(self, done: Finished) -> None:
+    def finished(self, done: RequestSummary) -> None:
         """Count one request."""
         ctx = done.ctx
         outcome = name_of(done.outcome)
@@ -62,7 +62,7 @@
         return reports.page_of(self._counts, time.time(), self._targets)
 
     def _count(
-        self, objective: ObjectiveRow, done: Finished, now: float
+        self, objective: ObjectiveRow, done: RequestSummary, now: float
     ) -> None:
         for indicator, target, bad in judge(objective, done):
             key = burn.Key(
@@ -72,7 +72,7 @@
             self._counts.add(now, key, 1, int(bad))
 
 
-def covers(objective: ObjectiveRow, done: Finished) -> bool:
+def covers(objective: ObjectiveRow, done: RequestSummary) -> bool:
     """Tell whether the objective speaks of this request."""
     customers = (ANY, done.ctx.customer)
     models = (ANY, done.ctx.target)
@@ -82,7 +82,7 @@
 
 
 def judge(
-    objective: ObjectiveRow, done: Finished
+    objective: ObjectiveRow, done: RequestSummary
 ) -> list[tuple[str, float, bool]]:
     """Give (indicator, target, whether bad) for what can be judged."""
     answered = isinstance(done.outcome, Answered)
@@ -97,14 +97,14 @@
     return found
 
 
-def mean_interval(done: Finished) -> float | None:
+def mean_interval(done: RequestSummary) -> float | None:
     """Give the mean time between parts of a streamed answer in seconds."""
     if not done.ctx.stream or done.first_part_s is None or done.parts < 2:
         return None
     return (done.total_s - done.first_part_s) / (done.parts - 1)
 
 
-def _is_callers_fault(done: Finished) -> bool:
+def _is_callers_fault(done: RequestSummary) -> bool:
     outcome = done.outcome
     if isinstance(outcome, NotRun):
         return outcome.status in CALLER_STATUSES
--- a/packages/burdockchute-entry/burdockchute_entry/router.py
+++ b/packages/burdockchute-entry/burdockchute_entry/router.py
@@ -22,14 +22,14 @@
 from burdockchute.model import table as tables
 from burdockchute.model.changes import MembersChanged
 from burdockchute.model.changes import TableChanged
-from burdockchute.model.crashes import CrashLearned
-from burdockchute.model.crashes import CrashSeen
+from burdockchute.model.crash_reports import CrashReport
+from burdockchute.model.crash_reports import PeerCrashReport
 from burdockchute.model.outcomes import Answered
 from burdockchute.model.outcomes import NotRun
 from burdockchute.model.outcomes import Outcome
 from burdockchute.model.outcomes import Unknown
 from burdockchute.model.replies import CallerGone
-from burdockchute.model.replies import Finished
+from burdockchute.model.replies import RequestSummary
 from burdockchute.model.replies import Submit
 from burdockchute.model.table import Table
 from burdockchute.nodes import links
@@ -58,8 +58,8 @@
     """Takes messages in `inbox`; see docs/design/interfaces.md.
 
     `claim` gets the messages of `burdockchute.model.claims`, `crash` each
-    CrashSeen, `observe` each Finished and `demand` what customers ask for.
-    `now` gives monotonic seconds.
+    CrashReport, `observe` each RequestSummary and `demand` what customers ask
+    for. `now` gives monotonic seconds.
     """
 
     def __init__(
@@ -67,8 +67,8 @@
         now: Callable[[], float],
         rng: random.Random,
         claim: Callable[[Any], None] | None = None,
-        crash: Callable[[CrashSeen], None] = lambda seen: None,
-        observe: Callable[[Finished], None] = lambda finished: None,
+        crash: Callable[[CrashReport], None] = lambda seen: None,
+        observe: Callable[[RequestSummary], None] = lambda finished: None,
         demand: Callable[[DemandSeen], None] = lambda seen: None,
         name: str = '',
     ) -> None:
@@ -79,7 +79,7 @@
         self._observe = observe
         self._demand = demand
         self._demand_due = now() + PERIOD_S
-        self._table: Table = tables.EMPTY
+        self._table: Table = tables.EMPTY_TABLE
         self._requests: dict[str, Request] = {}
         self._dispatcher = Dispatcher(
             now,
@@ -98,7 +98,7 @@
             TableChanged: self._table_changed,
             MembersChanged: self._members_changed,
             SharesChanged: self._shares_changed,
-            CrashLearned: self._crash_learned,
+            PeerCrashReport: self._crash_learned,
             claims.ClaimDecided: self._claim_decided,
             links.Opened: self._opened,
             links.Received: self._received,
@@ -187,7 +187,7 @@
             self._finish(request, NotRun('claims are not available'))
             return
         request.claim_id = ctx.request_id
-        self._claim(claims.ClaimWanted(ctx, request.claim_id, self.inbox))
+        self._claim(claims.ClaimRequested(ctx, request.claim_id, self.inbox))
 
     def _claim_decided(self, event: claims.ClaimDecided) -> None:
         request = self._requests.get(event.request_id)
@@ -320,7 +320,7 @@
         convicted = self._suspects.crashed(
             ctx.fingerprint, name, alone, self._now()
         )
-        self._crash(CrashSeen(ctx.fingerprint, name, alone, convicted))
+        self._crash(CrashReport(ctx.fingerprint, name, alone, convicted))
         logs.warn(
             'upstream_crashed',
             instance=name,
@@ -402,5 +402,5 @@
         self._intake.shares = event.shares
         self._intake.entries = event.entries
 
-    def _crash_learned(self, event: CrashLearned) -> None:
+    def _crash_learned(self, event: PeerCrashReport) -> None:
         self._suspects.peer_reported(event, self._now())
--- a/packages/burdockchute-entry/burdockchute_entry/straight/agents_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/agents_task.py
@@ -17,16 +17,16 @@
 from burdockchute import logs
 from burdockchute import tasks
 from burdockchute.decisions.versions import History
-from burdockchute.model.beliefs import Beliefs
-from burdockchute.model.crashes import CrashLearned
-from burdockchute.model.crashes import CrashSeen
-from burdockchute.model.link_news import LinkEvent
-from burdockchute.model.link_news import LinkLost
-from burdockchute.model.link_news import LinkTold
-from burdockchute.model.link_news import ProbeReturned
-from burdockchute.model.link_news import ProbeWanted
+from burdockchute.model.agent_requirements import AgentRequirements
+from burdockchute.model.crash_reports import CrashReport
+from burdockchute.model.crash_reports import PeerCrashReport
+from burdockchute.model.known_state import KnownState
+from burdockchute.model.link_events import LinkEvent
+from burdockchute.model.link_events import LinkLost
+from burdockchute.model.link_events import LinkStateReport
+from burdockchute.model.link_events import ProbeRequested
+from burdockchute.model.link_events import ProbeReturned
 from burdockchute.model.members import Member
-from burdockchute.model.needs import Needs
 from burdockchute.nodes import links
 from burdockchute.nodes.agents import agent_beside
 from burdockchute.nodes.peers import Dialled
@@ -51,13 +51,15 @@
 OnLoadReport = Callable[[str, messages.LoadReport], None]
 
 
-def agents_by_address(beliefs: Beliefs, link_port: int) -> dict[str, Member]:
+def agents_by_address(
+    known_state: KnownState, link_port: int
+) -> dict[str, Member]:
     """Return the agents of all engines, by the engine's address."""
-    if beliefs.routes is None:
+    if known_state.routes is None:
         return {}
-    services = beliefs.routes.services
+    services = known_state.routes.services
     found = {}
-    for upstream in beliefs.present():
+    for upstream in known_state.present_upstreams():
         service = services.get(upstream.service)
         if service is None or not service.models:
             continue
@@ -70,7 +72,7 @@
     """The desired state that was last sent to an agent."""
 
     histories: Mapping[str, History]
-    needs: Needs | None
+    needs: AgentRequirements | None
     in_contact: bool
 
 
@@ -93,7 +95,7 @@
         hello: Callable[[], messages.Hello],
         link_port: int,
         on_load_report: OnLoadReport,
-        on_crash: Callable[[CrashLearned], None],
+        on_crash: Callable[[PeerCrashReport], None],
         in_contact: Callable[[], bool],
         rng: random.Random,
         on_link_event: Callable[[LinkEvent], None] = lambda event: None,
@@ -106,7 +108,7 @@
         self._in_contact = in_contact
         self._on_link_event = on_link_event
         self._rng = rng
-        self._beliefs = Beliefs()
+        self._known_state = KnownState()
         self._services: dict[str, str] = {}
         self._last_sent: dict[str, _LastSent] = {}
         self._was_in_contact = in_contact()
@@ -125,11 +127,11 @@
 
     def _handle(self, message: object) -> None:
         match message:
-            case Beliefs():
-                self._beliefs = message
+            case KnownState():
+                self._known_state = message
                 self._services = {
                     str(upstream.endpoint): upstream.service
-                    for upstream in message.present()
+                    for upstream in message.present_upstreams()
                 }
                 self._peers.want(agents_by_address(message, self._link_port))
                 self._send_to_all()
@@ -149,27 +151,27 @@
                     logs.warn(
                         'agent_lost', agent=link.peer.name, reason=reason
                     )
-            case CrashSeen():
+            case CrashReport():
                 self._relay(messages.CrashNews(*message))
-            case ProbeWanted():
+            case ProbeRequested():
                 self._probe(message)
-            case LinkTold():
+            case LinkStateReport():
                 self._relay(messages.LinkNews(*message), message.agent)
             case links.Received(link=link, message=messages.LinkProbe()):
                 sent_at = message.message.sent_us / 1e6
                 self._on_link_event(ProbeReturned(link.peer.name, sent_at))
             case links.Received(message=messages.LinkNews()):
                 news = message.message
-                self._on_link_event(LinkTold(news.agent, news.is_slow))
+                self._on_link_event(LinkStateReport(news.agent, news.is_slow))
             case links.Received(message=messages.CrashNews()):
                 self._on_crash(
-                    CrashLearned(_crash_seen(message.message), age_s=0.0)
+                    PeerCrashReport(_crash_seen(message.message), age_s=0.0)
                 )
             case links.Received(link=link, message=messages.LoadReport()):
                 if self._peers.of(link) is not None:
                     self._on_load_report(link.peer.name, message.message)
 
-    def _probe(self, wanted: ProbeWanted) -> None:
+    def _probe(self, wanted: ProbeRequested) -> None:
         peer = self._peers.links.get(wanted.agent)
         if peer is not None:
             peer.send(messages.LinkProbe(round(wanted.sent_at * 1e6)))
@@ -190,10 +192,12 @@
         # requirements. If it were sent none, it would treat its models as
         # withdrawn.
         service = self._services.get(peer.name)
-        needs = self._beliefs.needs(service) if service else None
+        needs = (
+            self._known_state.agent_requirements(service) if service else None
+        )
         # Most saved configurations change nothing for agents and aren't sent.
         last_sent = _LastSent(
-            self._beliefs.histories,
+            self._known_state.histories,
             needs._replace(configuration=0) if needs else None,
             self._in_contact(),
         )
@@ -220,7 +224,7 @@
         self._tick()
 
     def _send_saves(self) -> None:
-        newest = self._beliefs.newest_configuration()
+        newest = self._known_state.newest_configuration_version()
         for name, peer in list(self._peers.links.items()):
             is_listed = name in self._services
             if is_listed and self._sent_configurations.get(name, 0) < newest:
@@ -233,7 +237,7 @@
         self._peers.tick(time.monotonic())
 
 
-def _crash_seen(news: messages.CrashNews) -> CrashSeen:
-    return CrashSeen(
+def _crash_seen(news: messages.CrashNews) -> CrashReport:
+    return CrashReport(
         news.fingerprint, news.upstream, news.alone, news.convicted
     )
--- a/packages/burdockchute-entry/burdockchute_entry/straight/app.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/app.py
@@ -24,8 +24,8 @@
 from burdockchute.following import longest_wait_s
 from burdockchute.following import SETTLING_S
 from burdockchute.lifetime import Lifetime
-from burdockchute.model.beliefs import Beliefs
-from burdockchute.model.crashes import CrashLearned
+from burdockchute.model.crash_reports import PeerCrashReport
+from burdockchute.model.known_state import KnownState
 from burdockchute.model.machines import Machine
 from burdockchute.model.members import Member
 from burdockchute.nodes.wishes_news import heard_of
@@ -118,14 +118,14 @@
                 now,
                 self.agents.inbox.put,
             ),
-            self.beliefs,
+            self.known_state,
             lambda: ShutdownState(self.shutting_down, self.accepting),
             self.counters.finished,
         )
 
-    def beliefs(self) -> Beliefs:
+    def known_state(self) -> KnownState:
         """Return the known state of the platform."""
-        return self.follower.beliefs
+        return self.follower.known_state
 
     def serve(self) -> int:
         """Run until a signal stops the process; returns the exit status."""
@@ -174,12 +174,12 @@
         )
 
     def _configuration(self) -> int | None:
-        routes = self.beliefs().routes
+        routes = self.known_state().routes
         return routes.configuration.version if routes else None
 
     def status(self) -> dict[str, Any]:
         """Return the status document of this process."""
-        beliefs = self.beliefs()
+        known_state = self.known_state()
         return {
             **self.lifetime.status(),
             'leaving': self.shutting_down,
@@ -187,7 +187,7 @@
             'configuration': self._configuration(),
             'versions': {
                 model: history.newest
-                for model, history in beliefs.histories.items()
+                for model, history in known_state.histories.items()
             },
             'upstreams': [
                 {
@@ -217,9 +217,9 @@
         )
         self.scheduler.set_bounds(self._machine.bounds)
 
-    def _on_state_changed(self, beliefs: Beliefs) -> None:
-        self.scheduler.update(beliefs)
-        self.agents.inbox.put(beliefs)
+    def _on_state_changed(self, known_state: KnownState) -> None:
+        self.scheduler.update(known_state)
+        self.agents.inbox.put(known_state)
 
     def _on_load_report(
         self, address: str, report: messages.LoadReport
@@ -230,8 +230,8 @@
             self.follower.hear_configuration(report.configuration)
         self.scheduler.apply_load_report(address, report)
 
-    def _on_crash_learned(self, learned: CrashLearned) -> None:
-        seen = learned.seen
+    def _on_crash_learned(self, learned: PeerCrashReport) -> None:
+        seen = learned.crash
         logs.event('crash_learned', **seen._asdict())
         self._suspects.peer_reported(learned, time.monotonic())
 
@@ -252,7 +252,7 @@
     def _readiness(self) -> http_admin.Probe:
         if self.shutting_down:
             return http_admin.Probe(False, 'leaving')
-        if not self.beliefs().complete:
+        if not self.known_state().complete:
             return http_admin.Probe(False, 'no configuration yet')
         return http_admin.Probe(True, '')
 
--- a/packages/burdockchute-entry/burdockchute_entry/straight/callers.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/callers.py
@@ -23,8 +23,8 @@
 from burdockchute.decisions import routing
 from burdockchute.decisions.routing import RouteTable
 from burdockchute.model import outcomes
-from burdockchute.model.beliefs import Beliefs
-from burdockchute.model.exchanges import Asked
+from burdockchute.model.exchanges import InboundRequest
+from burdockchute.model.known_state import KnownState
 from burdockchute.model.outcomes import NotRun
 from burdockchute.model.outcomes import Unknown
 from burdockchute.model.requests import RequestContext
@@ -53,7 +53,7 @@
 class AdmittedRequest(NamedTuple):
     """An accepted request with its route, service and context."""
 
-    inbound: Asked
+    inbound: InboundRequest
     route: Route
     service: str
     ctx: RequestContext
@@ -116,14 +116,14 @@
     def __init__(
         self,
         deps: Dependencies,
-        beliefs: Callable[[], Beliefs],
+        known_state: Callable[[], KnownState],
         shutdown_state: Callable[[], ShutdownState],
         observe: Callable[[FinishedRequest], None],
     ) -> None:
         self.open_requests = 0
         self._max_time_left_s: dict[str, float] = {}
         self._deps = deps
-        self._beliefs = beliefs
+        self._known_state = known_state
         self._shutdown_state = shutdown_state
         self._observe = observe
 
@@ -157,17 +157,17 @@
         return admitted
 
     def _admit_decoded(
-        self, environ: dict[str, Any], inbound: Asked, arrived: float
+        self, environ: dict[str, Any], inbound: InboundRequest, arrived: float
     ) -> AdmittedRequest | Refusal:
         if not self._shutdown_state().accepting:
             return Refusal(503, 'this entry is leaving', SHUTDOWN_RETRY_S)
-        beliefs = self._beliefs()
-        if beliefs.routes is None or not beliefs.complete:
+        known_state = self._known_state()
+        if known_state.routes is None or not known_state.complete:
             return Refusal(503, 'no configuration yet', NOT_READY_RETRY_S)
-        route_match = _match_route(beliefs.routes, inbound)
+        route_match = _match_route(known_state.routes, inbound)
         if isinstance(route_match, Refusal):
             return route_match
-        limits = beliefs.routes.configuration.limits
+        limits = known_state.routes.configuration.limits
         body = http.read_body(
             environ, http.Limits(max_body_bytes=limits.max_body_bytes)
         )
@@ -178,7 +178,7 @@
             inbound._replace(body=body), route_match, arrived, elapsed_s
         )
 
-    def _elapsed_s(self, route: Route, inbound: Asked) -> float:
+    def _elapsed_s(self, route: Route, inbound: InboundRequest) -> float:
         """Estimate the seconds the caller spent on earlier attempts.
 
         Callers send the time that they have left. One that sends much less
@@ -365,7 +365,9 @@
         self._app.finished(self._admitted, self._exchange, status, outcome)
 
 
-def _match_route(table: RouteTable, inbound: Asked) -> RouteMatch | Refusal:
+def _match_route(
+    table: RouteTable, inbound: InboundRequest
+) -> RouteMatch | Refusal:
     route = routing.find_route(table, inbound.host, inbound.path)
     if route is None:
         return Refusal(404, f'no route for {inbound.host!r} {inbound.path!r}')
@@ -385,7 +387,10 @@
 
 
 def _make_admitted(
-    inbound: Asked, route_match: RouteMatch, arrived: float, elapsed_s: float
+    inbound: InboundRequest,
+    route_match: RouteMatch,
+    arrived: float,
+    elapsed_s: float,
 ) -> AdmittedRequest:
     route, service, customer, priority = route_match
     left_s = min(inbound.time_left_s or DEFAULT_TIMEOUT_S, route.timeout_s)
@@ -411,7 +416,7 @@
     return AdmittedRequest(inbound, route, service, ctx, elapsed_s)
 
 
-def _fingerprint(customer: str, inbound: Asked) -> str:
+def _fingerprint(customer: str, inbound: InboundRequest) -> str:
     named = '\0'.join((customer, inbound.method, inbound.host, inbound.target))
     hasher = blake3.blake3(named.encode())
     hasher.update(b'\0' + inbound.body)
--- a/packages/burdockchute-entry/burdockchute_entry/straight/exchange.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/exchange.py
@@ -9,7 +9,7 @@
 from burdockchute.decisions import admission
 from burdockchute.decisions import retries
 from burdockchute.model.exchanges import AnswerHead
-from burdockchute.model.exchanges import Asked
+from burdockchute.model.exchanges import InboundRequest
 from burdockchute.model.outcomes import NotRun
 from burdockchute.model.outcomes import Unknown
 from burdockchute.model.requests import RequestContext
@@ -57,7 +57,7 @@
     def __init__(
         self,
         deps: Dependencies,
-        inbound: Asked,
+        inbound: InboundRequest,
         ctx: RequestContext,
         route: Route,
         service: str,
--- a/packages/burdockchute-entry/burdockchute_entry/straight/known_targets.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/known_targets.py
@@ -12,7 +12,7 @@
 from burdockchute.decisions import versions
 from burdockchute.decisions import wait_limits
 from burdockchute.decisions.placement import InstanceLoad
-from burdockchute.model.beliefs import Beliefs
+from burdockchute.model.known_state import KnownState
 from burdockchute.model.machines import Bounds
 from burdockchute.model.routes import EngineCost
 from burdockchute.model.upstreams import Upstream
@@ -48,16 +48,19 @@
         self._rng = rng
         self._region = region
         self._regions = regions
-        self._beliefs = Beliefs()
+        self._known_state = KnownState()
         self._targets: dict[str, Target] = {}
         self._ids_by_address: dict[str, list[str]] = {}
 
     # Updates.
 
-    def update(self, beliefs: Beliefs, now: float) -> None:
+    def update(self, known_state: KnownState, now: float) -> None:
         """Apply new routes, versions and upstreams."""
-        self._beliefs = beliefs
-        present = {upstream.id: upstream for upstream in beliefs.present()}
+        self._known_state = known_state
+        present = {
+            upstream.id: upstream
+            for upstream in known_state.present_upstreams()
+        }
         for name in self._targets.keys() - present.keys():
             self._targets.pop(name).close_idle()
         for name, upstream in present.items():
@@ -130,7 +133,7 @@
 
     def cost(self, service: str) -> EngineCost | None:
         """Return the cost model of a service's engines, None without one."""
-        routes = self._beliefs.routes
+        routes = self._known_state.routes
         known = routes.services.get(service) if routes else None
         if known is None or known.cost is None:
             return None
@@ -139,7 +142,7 @@
     def start_deadline(self, model: str, version: int) -> float | None:
         """Return until when a version may start requests, None for ever."""
         return versions.start_deadline(
-            self._beliefs.history(model), version, self.bounds.version_s
+            self._known_state.history(model), version, self.bounds.version_s
         )
 
     def eligible(self, pending: PendingRequest, now: float) -> list[Target]:
@@ -353,7 +356,7 @@
     def _min_version(self, spec: RequestSpec, now: float) -> int:
         if not spec.model:
             return 0
-        history = self._beliefs.history(spec.model)
+        history = self._known_state.history(spec.model)
         return versions.least_allowed(history, self.bounds.version_s, now)
 
 
--- a/packages/burdockchute-entry/burdockchute_entry/straight/scheduler.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/scheduler.py
@@ -23,8 +23,8 @@
 from burdockchute.decisions import wait_limits
 from burdockchute.decisions.fair_queue import FairQueue
 from burdockchute.decisions.fair_queue import QueuedRequest
-from burdockchute.model.beliefs import Beliefs
-from burdockchute.model.link_news import LinkEvent
+from burdockchute.model.known_state import KnownState
+from burdockchute.model.link_events import LinkEvent
 from burdockchute.model.machines import Bounds
 from burdockchute.model.outcomes import NotRun
 from burdockchute.wire import messages
@@ -108,9 +108,9 @@
 
     # Updates.
 
-    def update(self, beliefs: Beliefs) -> None:
+    def update(self, known_state: KnownState) -> None:
         """Apply new routes, versions and upstreams."""
-        self._known.update(beliefs, self._now())
+        self._known.update(known_state, self._now())
         self.assign_free_slots()
 
     def apply_load_report(
@@ -262,7 +262,7 @@
     def tokens_per_event(self, service: str) -> int:
         """Return the number of tokens in an event of a service's streams."""
         cost = self._known.cost(service)
-        return cost.steps_a_pass if cost else 1
+        return cost.steps_per_pass if cost else 1
 
     def start_deadline(self, model: str, version: int) -> float | None:
         """Return until when a version may start requests, None for ever."""
--- a/packages/burdockchute-entry/burdockchute_entry/straight/sending.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/sending.py
@@ -16,10 +16,10 @@
 from burdockchute.decisions import versions
 from burdockchute.decisions.placement import Work
 from burdockchute.decisions.suspects import Suspects
-from burdockchute.model.crashes import CrashSeen
+from burdockchute.model.crash_reports import CrashReport
 from burdockchute.model.exchanges import AnswerHead
-from burdockchute.model.exchanges import Asked
-from burdockchute.model.exchanges import Onward
+from burdockchute.model.exchanges import ForwardedRequest
+from burdockchute.model.exchanges import InboundRequest
 from burdockchute.model.outcomes import NotRun
 from burdockchute.model.requests import RequestContext
 from burdockchute.model.routes import Kind
@@ -67,7 +67,7 @@
     scheduler: Scheduler
     suspects: Suspects
     now: Callable[[], float]
-    report_crash: Callable[[CrashSeen], None] = lambda seen: None
+    report_crash: Callable[[CrashReport], None] = lambda seen: None
 
 
 class Sender:
@@ -83,7 +83,7 @@
     def __init__(
         self,
         deps: Dependencies,
-        inbound: Asked,
+        inbound: InboundRequest,
         ctx: RequestContext,
         route: Route,
         spec: RequestSpec,
@@ -193,7 +193,7 @@
 
     def send(self, sent: SentRequest) -> None:
         """Send the request; raises Broken."""
-        forwarded = Onward(
+        forwarded = ForwardedRequest(
             instance=sent.slot.target.id,
             customer=self.ctx.customer,
             time_left_s=max(MIN_TIME_LEFT_S, self.ctx.deadline - sent.sent_at),
@@ -396,7 +396,7 @@
             fingerprint, target.id, alone, self._deps.now()
         )
         self._deps.report_crash(
-            CrashSeen(fingerprint, target.id, alone, convicted)
+            CrashReport(fingerprint, target.id, alone, convicted)
         )
         logs.warn(
             'upstream_broke_off',
--- a/packages/burdockchute-entry/burdockchute_entry/straight/slow_links.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/slow_links.py
@@ -8,14 +8,14 @@
 from burdockchute import logs
 from burdockchute.decisions import slow_links
 from burdockchute.decisions.slow_links import LinkState
-from burdockchute.model.link_news import LinkEvent
-from burdockchute.model.link_news import LinkLost
-from burdockchute.model.link_news import LinkTold
-from burdockchute.model.link_news import ProbeReturned
-from burdockchute.model.link_news import ProbeWanted
+from burdockchute.model.link_events import LinkEvent
+from burdockchute.model.link_events import LinkLost
+from burdockchute.model.link_events import LinkStateReport
+from burdockchute.model.link_events import ProbeRequested
+from burdockchute.model.link_events import ProbeReturned
 from burdockchute_entry.straight.targets import Target
 
-SendLinkMessage = Callable[[ProbeWanted | LinkTold], None]
+SendLinkMessage = Callable[[ProbeRequested | LinkStateReport], None]
 
 
 class SlowLinks:
@@ -61,7 +61,7 @@
         match event:
             case ProbeReturned(sent_at=sent_at):
                 state = slow_links.probe_returned(before, sent_at, now)
-            case LinkTold(is_slow=slow):
+            case LinkStateReport(is_slow=slow):
                 if slow and not self._may_hold_one_more(event.agent, now):
                     return
                 state = slow_links.peer_reported(before, slow, now)
@@ -98,14 +98,14 @@
             # The probe returns this time in microseconds, and it must match.
             sent_at = round(now, 6)
             state = state._replace(probe_at=sent_at)
-            self._send(ProbeWanted(agent, sent_at))
+            self._send(ProbeRequested(agent, sent_at))
         self._store(agent, before, state)
 
     def _announce(self, agent: str, now: float) -> None:
         state = self._states.get(agent)
         if state is not None and slow_links.must_report(state, now):
             self._states[agent] = state._replace(reported_slow_at=now)
-            self._send(LinkTold(agent, True))
+            self._send(LinkStateReport(agent, True))
 
     def _store(self, agent: str, before: LinkState, state: LinkState) -> None:
         was_slow, is_slow = before.slow_at, state.slow_at
@@ -118,7 +118,7 @@
             and is_slow is None
             and before.reported_slow_at
         ):
-            self._send(LinkTold(agent, False))
+            self._send(LinkStateReport(agent, False))
             state = state._replace(reported_slow_at=None)
         self._states[agent] = state
 
--- a/packages/burdockchute-entry/burdockchute_entry/subset_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/subset_task.py
@@ -16,7 +16,7 @@
 from burdockchute.decisions.subset import Subset
 from burdockchute.model.changes import MembersChanged
 from burdockchute.model.changes import TableChanged
-from burdockchute.model.table import EMPTY
+from burdockchute.model.table import EMPTY_TABLE
 from burdockchute.model.table import Table
 
 # About five milliseconds of work on the largest site, then as much time for
@@ -33,7 +33,7 @@
     ) -> None:
         self.inbox: queue.Queue = queue.Queue()
         self._subset = Subset(own)
-        self._table: Table = EMPTY
+        self._table: Table = EMPTY_TABLE
         self._wanted: frozenset[str] = frozenset()
         self._publish = publish
 
--- a/packages/burdockchute-entry/burdockchute_entry/table_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/table_task.py
@@ -27,7 +27,7 @@
 from burdockchute.model import records
 from burdockchute.model import reducer
 from burdockchute.model.findings import Finding
-from burdockchute.model.table import EMPTY
+from burdockchute.model.table import EMPTY_TABLE
 from burdockchute.model.table import NO_OFFSET
 from burdockchute.model.table import Table
 from burdockchute.platform import table_log
@@ -102,8 +102,8 @@
         rng: random.Random | None = None,
         wait_s: float = WAIT_S,
     ) -> None:
-        self.table = EMPTY
-        self.changes = deltas.Changes()
+        self.table = EMPTY_TABLE
+        self.changes = deltas.RecentChanges()
         self.ready = event.Event()
         self._log = log
         self._publish = publish
@@ -169,7 +169,7 @@
         if known_offset == self.table.offset:
             same = messages.TableDelta(known_offset, known_offset, [])
             return self._aged(same)
-        return self._aged(deltas.whole(self.table, with_seen=True))
+        return self._aged(deltas.full_table(self.table, with_seen=True))
 
     def take(self, delta: messages.TableDelta) -> None:
         """Take a peer entry's answer; only ever moves forward."""
@@ -256,7 +256,7 @@
         is_first = not self.ready.is_set()
         if table.offset <= self.table.offset and not is_first:
             return
-        self.changes.forget()
+        self.changes.reset()
         self.changes.add(table.offset, ())
         self.table = table
         self.ready.set()
@@ -276,13 +276,13 @@
         if table_log.is_up_to_date(len(batch.records)):
             self._confirmed_at = max(self._confirmed_at, sent_at)
         if reduced.table.offset > old.offset:
-            self.changes.add(old.offset, reduced.touched)
+            self.changes.add(old.offset, reduced.changed_rows)
             self.table = reduced.table
-            if reduced.touched:
+            if reduced.changed_rows:
                 logs.event(
                     'table_applied',
                     offset=self.table.offset,
-                    changed=len(reduced.touched),
+                    changed=len(reduced.changed_rows),
                 )
                 self._publish(self.table)
         self._write_snapshot_if_due()
@@ -372,7 +372,7 @@
             self._writing = gevent.spawn(self._write_snapshot, self.table)
 
     def _write_snapshot(self, table: Table) -> None:
-        text = records.write(records.SnapshotRecord(table))
+        text = records.serialize(records.SnapshotRecord(table))
         appended = self._log.append(table_log.STREAM, text)
         if isinstance(appended, Failure):
             logs.warn(
--- a/packages/burdockchute-entry/tests/test_agents_task.py
+++ b/packages/burdockchute-entry/tests/test_agents_task.py
@@ -7,13 +7,13 @@
 
 from burdockchute.decisions import versions
 from burdockchute.decisions.routing import route_table
-from burdockchute.model.beliefs import Beliefs
-from burdockchute.model.crashes import CrashLearned
-from burdockchute.model.crashes import CrashSeen
-from burdockchute.model.link_news import LinkLost
-from burdockchute.model.link_news import LinkTold
-from burdockchute.model.link_news import ProbeReturned
-from burdockchute.model.link_news import ProbeWanted
+from burdockchute.model.crash_reports import CrashReport
+from burdockchute.model.crash_reports import PeerCrashReport
+from burdockchute.model.known_state import KnownState
+from burdockchute.model.link_events import LinkLost
+from burdockchute.model.link_events import LinkStateReport
+from burdockchute.model.link_events import ProbeRequested
+from burdockchute.model.link_events import ProbeReturned
 from burdockchute.model.members import Member
 from burdockchute.model.members import Place
 from burdockchute.model.routes import CallerLimits
@@ -48,7 +48,7 @@
         self.in_contact = True
         self.crashes = []
         self.link_events = []
-        self.beliefs = Beliefs()
+        self.known_state = KnownState()
         self.task = AgentsTask(
             OWN,
             lambda: None,
@@ -65,7 +65,7 @@
         for version, at in named:
             history = versions.add_version(history, version, at)
         histories = {'story': history} if named else {}
-        self.task._handle(self.beliefs._replace(histories=histories))
+        self.task._handle(self.known_state._replace(histories=histories))
 
     def opened(self, name):
         link = FakeLink(name)
@@ -90,7 +90,7 @@
         """A time that is changed in transit would not match the probe."""
         link, other = self.opened('10.0.0.1:1'), self.opened('10.0.0.2:1')
         sent_at = round(12345.678901234, 6)
-        self.task._handle(ProbeWanted('10.0.0.1:1', sent_at))
+        self.task._handle(ProbeRequested('10.0.0.1:1', sent_at))
         probe = link.sent[-1]
         self.assertNotIn(probe, other.sent)
         self.task._handle(links.Received(link, probe))
@@ -100,18 +100,20 @@
 
     def test_no_probe_without_a_link(self):
         """A restarting agent has no link for a moment."""
-        self.task._handle(ProbeWanted('10.0.0.9:1', 1.0))
+        self.task._handle(ProbeRequested('10.0.0.9:1', 1.0))
         self.assertEqual([], self.link_events)
 
     def test_a_slow_link_is_not_reported_over_itself(self):
         """The report would be queued behind the data that slows the link."""
         slow, fast = self.opened('10.0.0.1:1'), self.opened('10.0.0.2:1')
-        self.task._handle(LinkTold('10.0.0.1:1', True))
+        self.task._handle(LinkStateReport('10.0.0.1:1', True))
         news = messages.LinkNews('10.0.0.1:1', True)
         self.assertIn(news, fast.sent)
         self.assertNotIn(news, slow.sent)
         self.task._handle(links.Received(fast, news))
-        self.assertEqual([LinkTold('10.0.0.1:1', True)], self.link_events)
+        self.assertEqual(
+            [LinkStateReport('10.0.0.1:1', True)], self.link_events
+        )
 
     def test_a_closed_link_is_no_longer_slow(self):
         """Otherwise a killed agent would leave its engine without requests."""
@@ -126,12 +128,12 @@
         routes = route_table(
             Configuration(version, (), (drafts, weights), None, LIMITS)
         )
-        self.beliefs = self.beliefs._replace(
+        self.known_state = self.known_state._replace(
             routes=routes,
             upstreams=listed(upstream(endpoint=ADDRESS)),
-            listed=True,
+            upstreams_listed=True,
         )
-        self.task._handle(self.beliefs)
+        self.task._handle(self.known_state)
 
     def test_an_agent_gets_only_saves_that_change_its_requirements(self):
         """Operators save routes many times; the origin changes once.
@@ -169,13 +171,13 @@
         engines per entry, and other callers would lose their answers.
         """
         opened = [self.opened(f'10.0.0.{n}:1') for n in range(1, 9)]
-        seen = CrashSeen('f-1', 'i-1', True, False)
+        seen = CrashReport('f-1', 'i-1', True, False)
         self.task._handle(seen)
         receivers = [link for link in opened if len(link.sent) > 1]
         self.assertEqual(3, len(receivers))
         news = receivers[0].sent[-1]
         self.task._handle(links.Received(opened[0], news))
-        self.assertEqual([CrashLearned(seen, 0.0)], self.crashes)
+        self.assertEqual([PeerCrashReport(seen, 0.0)], self.crashes)
 
     def test_an_entry_without_contact_reports_it(self):
         """The store refuses one entry and serves the agents.
--- a/packages/burdockchute-entry/tests/test_claims_task.py
+++ b/packages/burdockchute-entry/tests/test_claims_task.py
@@ -78,7 +78,7 @@
     def claim(self, name, ctx):
         replies: queue.Queue = queue.Queue()
         self.tasks[name].inbox.put(
-            claims.ClaimWanted(ctx, ctx.request_id, replies)
+            claims.ClaimRequested(ctx, ctx.request_id, replies)
         )
         return replies
 
--- a/packages/burdockchute-entry/tests/test_crashes.py
+++ b/packages/burdockchute-entry/tests/test_crashes.py
@@ -8,8 +8,8 @@
 from gevent import queue
 
 from burdockchute.model.changes import MembersChanged
-from burdockchute.model.crashes import CrashLearned
-from burdockchute.model.crashes import CrashSeen
+from burdockchute.model.crash_reports import CrashReport
+from burdockchute.model.crash_reports import PeerCrashReport
 from burdockchute.model.members import Member
 from burdockchute.model.members import Place
 from burdockchute.model.outcomes import Answered
@@ -126,8 +126,8 @@
         # Its caller sends it again, and the balancer picks another entry.
         bench = routing.Bench(requests.table_of())
         link = bench.agent('a')
-        seen = CrashSeen(POISON, 'x', True, True)
-        bench.router.handle(CrashLearned(seen, 5.0))
+        seen = CrashReport(POISON, 'x', True, True)
+        bench.router.handle(PeerCrashReport(seen, 5.0))
         rid = bench.submit(poison())
         self.assertIsInstance(bench.outcome(rid), NotRun)
         self.assertEqual([], link.dispatched())
@@ -138,7 +138,7 @@
         bench = routing.Bench(requests.table_of())
         link = bench.agent('a')
         bench.router.handle(
-            CrashLearned(CrashSeen(POISON, 'x', False, False), 5.0)
+            PeerCrashReport(CrashReport(POISON, 'x', False, False), 5.0)
         )
         rid = bench.submit(poison())
         bench.break_off(link, rid, crashed=True)
@@ -163,16 +163,16 @@
         log = FakeLog()
         one, own = self.start(log)
         _two, learned = self.start(log)
-        seen = CrashSeen(POISON, 'a', False, False)
+        seen = CrashReport(POISON, 'a', False, False)
         one.inbox.put(seen)
-        self.assertEqual(CrashLearned(seen, 0.0), learned.get(timeout=10))
+        self.assertEqual(PeerCrashReport(seen, 0.0), learned.get(timeout=10))
         self.assertEqual(0, own.qsize())
 
     def test_records_that_tell_nothing(self):
-        seen = CrashSeen(POISON, 'a', False, False)
+        seen = CrashReport(POISON, 'a', False, False)
         text = crashes_task.encode(seen, 'me', 900.0)
         self.assertIsNone(crashes_task.decode(text, 'me', 1000.0))
         learned = crashes_task.decode(text, 'you', 1000.0)
-        self.assertEqual(CrashLearned(seen, 100.0), learned)
+        self.assertEqual(PeerCrashReport(seen, 100.0), learned)
         for data in ('', '[]', '{"v": 9}', '{"v": 1, "writer": "x"}'):
             self.assertIsNone(crashes_task.decode(data, 'you', 1000.0))
--- a/packages/burdockchute-entry/tests/test_links_subset.py
+++ b/packages/burdockchute-entry/tests/test_links_subset.py
@@ -60,7 +60,7 @@
             self.list,
             links_task.TableSource(
                 lambda: TABLE.offset,
-                lambda offset: deltas.whole(TABLE),
+                lambda offset: deltas.full_table(TABLE),
                 lambda offset: None,
             ),
             links_task.Handing(
@@ -155,7 +155,7 @@
             agents,
             links_task.TableSource(
                 lambda: TABLE.offset,
-                lambda offset: deltas.whole(TABLE),
+                lambda offset: deltas.full_table(TABLE),
                 lambda offset: None,
             ),
             links_task.Handing(
--- a/packages/burdockchute-entry/tests/test_router.py
+++ b/packages/burdockchute-entry/tests/test_router.py
@@ -12,7 +12,7 @@
 from burdockchute.model.outcomes import Answered
 from burdockchute.model.outcomes import NotRun
 from burdockchute.model.outcomes import Unknown
-from burdockchute.model.replies import Began
+from burdockchute.model.replies import AnswerStarted
 from burdockchute.model.replies import CallerGone
 from burdockchute.model.replies import Done
 from burdockchute.model.replies import Part
@@ -42,7 +42,7 @@
         self.bench.answer(link, rid, parts=2)
         self.assertEqual(
             [
-                Began('d1', ''),
+                AnswerStarted('d1', ''),
                 Part(b'%s-0' % rid.encode()),
                 Part(b'%s-1' % rid.encode()),
                 Done(WHOLE),
--- a/packages/burdockchute-entry/tests/test_scheduler.py
+++ b/packages/burdockchute-entry/tests/test_scheduler.py
@@ -13,7 +13,7 @@
 from burdockchute.decisions.listing import UpstreamList
 from burdockchute.decisions.overload import OverloadDetector
 from burdockchute.decisions.placement import Work
-from burdockchute.model.beliefs import Beliefs
+from burdockchute.model.known_state import KnownState
 from burdockchute.model.machines import Bounds
 from burdockchute.model.routes import EngineCost
 from burdockchute.model.upstreams import Endpoint
@@ -125,7 +125,7 @@
         """
         scheduler = Scheduler(BOUNDS, lambda: 0.0, random.Random(1))
         known = {u.id: KnownUpstream(u, 0) for u in upstreams()}
-        scheduler.update(Beliefs(upstreams=UpstreamList(known, {})))
+        scheduler.update(KnownState(upstreams=UpstreamList(known, {})))
         for target in scheduler.targets():
             target.load.reserved_for = 'somebody else'
         waiting = [
@@ -162,7 +162,7 @@
             u.id: KnownUpstream(u._replace(slots=16), 0)
             for u in upstreams()[:6]
         }
-        scheduler.update(Beliefs(upstreams=UpstreamList(known, {})))
+        scheduler.update(KnownState(upstreams=UpstreamList(known, {})))
         for target in scheduler.targets():
             target.load.apply_report(12, 16, 1, 0.0, (), 0.0)
             target.load.window = 16
@@ -181,7 +181,7 @@
         """
         scheduler = Scheduler(BOUNDS, lambda: 0.0, random.Random(1))
         known = {u.id: KnownUpstream(u, 0) for u in upstreams()}
-        scheduler.update(Beliefs(upstreams=UpstreamList(known, {})))
+        scheduler.update(KnownState(upstreams=UpstreamList(known, {})))
         with mock.patch.object(
             OverloadDetector, 'record', autospec=True
         ) as note:
@@ -201,7 +201,7 @@
         self.now = 100.0
         self.scheduler = Scheduler(BOUNDS, lambda: self.now, random.Random(1))
         known = {u.id: KnownUpstream(u, 0) for u in upstreams()[:2]}
-        self.scheduler.update(Beliefs(upstreams=UpstreamList(known, {})))
+        self.scheduler.update(KnownState(upstreams=UpstreamList(known, {})))
         patch = cost_is(COST)
         patch.start()
         self.addCleanup(patch.stop)
@@ -271,7 +271,7 @@
         self.scheduler = Scheduler(BOUNDS, lambda: self.now, random.Random(1))
         only = upstreams()[0]._replace(slots=1)
         known = UpstreamList({only.id: KnownUpstream(only, 0)}, {})
-        self.scheduler.update(Beliefs(upstreams=known))
+        self.scheduler.update(KnownState(upstreams=known))
         self.target = self.scheduler.targets()[0]
 
     def wait(self, number, resuming):
--- a/packages/burdockchute-entry/tests/test_slow_links.py
+++ b/packages/burdockchute-entry/tests/test_slow_links.py
@@ -6,9 +6,9 @@
 import itertools
 import unittest
 
-from burdockchute.model.link_news import LinkTold
-from burdockchute.model.link_news import ProbeReturned
-from burdockchute.model.link_news import ProbeWanted
+from burdockchute.model.link_events import LinkStateReport
+from burdockchute.model.link_events import ProbeRequested
+from burdockchute.model.link_events import ProbeReturned
 from burdockchute.model.upstreams import Endpoint
 from burdockchute_entry.straight.slow_links import SlowLinks
 from burdockchute_entry.straight.targets import Target
@@ -31,7 +31,7 @@
         self.site = site
         self.number = number
         self.sent_at: list[float] = []
-        self.reported: list[LinkTold] = []
+        self.reported: list[LinkStateReport] = []
         self.targets = [
             Target(
                 upstream(
@@ -50,7 +50,7 @@
 
     def _send_message(self, message) -> None:
         site = self.site
-        if isinstance(message, ProbeWanted):
+        if isinstance(message, ProbeRequested):
             returned = ProbeReturned(*message)
             link_delay_s = site.link_delay_s(self, message.agent)
             site.at(
@@ -142,7 +142,7 @@
             first <= at < last for e in self.entries for at in e.sent_at
         )
 
-    def reported(self) -> list[LinkTold]:
+    def reported(self) -> list[LinkStateReport]:
         return [
             reported for entry in self.entries for reported in entry.reported
         ]
@@ -197,7 +197,9 @@
         entry = self.site.entries[0]
         self.site.run(0.5)
         for target in entry.targets:
-            entry.handle_event(LinkTold(str(target.upstream.endpoint), True))
+            entry.handle_event(
+                LinkStateReport(str(target.upstream.endpoint), True)
+            )
         entry.check_links()
         self.assertEqual(
             ENGINES // 4, sum(target.is_held for target in entry.targets)
--- a/packages/burdockchute-entry/tests/test_table_task.py
+++ b/packages/burdockchute-entry/tests/test_table_task.py
@@ -10,7 +10,7 @@
 
 from burdockchute.model import deltas
 from burdockchute.model import reducer
-from burdockchute.model.table import EMPTY
+from burdockchute.model.table import EMPTY_TABLE
 from burdockchute.model.table import Table
 from burdockchute.wire import codec
 from burdockchute.wire import messages
@@ -105,7 +105,7 @@
 
     def test_table_of_a_peer_goes_on_with_the_log(self):
         text = tables.record('a', tables.edit(tables.model()))
-        table = reducer.apply_record(EMPTY, 0, text)[0]
+        table = reducer.apply_record(EMPTY_TABLE, 0, text)[0]
         self.log.append('table', text).unwrap()
         self.log.down = True
         task, _published = self.task()
@@ -258,10 +258,10 @@
     def test_empty_log_is_an_empty_table(self):
         task, published = self.task()
         self.wait_for(task.ready.is_set)
-        self.assertEqual([EMPTY], published)
+        self.assertEqual([EMPTY_TABLE], published)
 
 
 def over_the_wire(table: Table, age_ms: int = 0) -> messages.TableDelta:
-    delta = deltas.whole(table, with_seen=True)
+    delta = deltas.full_table(table, with_seen=True)
     delta.age_ms = age_ms
     return codec.decode(codec.encode(delta))
--- a/packages/burdockchute-testing/burdockchute_testing/benches/table.py
+++ b/packages/burdockchute-testing/burdockchute_testing/benches/table.py
@@ -19,7 +19,7 @@
 from burdockchute.model import records
 from burdockchute.model import reducer
 from burdockchute.model import rows
-from burdockchute.model.table import EMPTY
+from burdockchute.model.table import EMPTY_TABLE
 from burdockchute.model.table import Table
 from burdockchute.platform import table_log
 from burdockchute.platform.log import LogClient
@@ -178,7 +178,7 @@
     row = rows.ServiceRow('proofs', slots=2 + number)
     edit = records.RowEdit(key, held.revision, row)
     record = records.EditRecord(f'edit-{number}', table.offset, (edit,))
-    return records.write(record)
+    return records.serialize(record)
 
 
 def _links_of(system: System, entry: str) -> int:
@@ -305,7 +305,7 @@
     choice.set_members(fleets.fleet(LARGEST_ENTRIES, LARGEST_AGENTS))
     while not choice.step(25):
         pass
-    wanted = choice.wanted(EMPTY)
+    wanted = choice.wanted(EMPTY_TABLE)
     results.emit(
         BENCH,
         case,
--- a/packages/burdockchute-testing/burdockchute_testing/benches/table_rows.py
+++ b/packages/burdockchute-testing/burdockchute_testing/benches/table_rows.py
@@ -10,7 +10,7 @@
 from burdockchute.model import records
 from burdockchute.model import reducer
 from burdockchute.model import rows
-from burdockchute.model.table import EMPTY
+from burdockchute.model.table import EMPTY_TABLE
 from burdockchute.model.table import Table
 from burdockchute.platform import table_log
 from burdockchute.platform.log import LogClient
@@ -28,12 +28,12 @@
     """Measure a fresh entry and the costs that grow with the rows."""
     case = f'{count} rows'
     table = _table_of(count)
-    text = records.write(records.SnapshotRecord(table))
+    text = records.serialize(records.SnapshotRecord(table))
     results.emit(BENCH, case, 'snapshot', len(text.encode()), 'B')
-    delta = codec.encode(deltas.whole(table))
+    delta = codec.encode(deltas.full_table(table))
     results.emit(BENCH, case, 'whole table for an agent', len(delta), 'B')
     started = time.process_time()
-    deltas.apply_delta(EMPTY, codec.decode(delta)).unwrap()
+    deltas.apply_delta(EMPTY_TABLE, codec.decode(delta)).unwrap()
     taken = time.process_time() - started
     results.emit(BENCH, case, 'agent takes the whole table', taken, 's')
     started = time.process_time()
@@ -51,8 +51,8 @@
             for number in range(start, min(count, start + records.MAX_EDITS))
         )
         record = records.EditRecord(f'row-{start}', start - 1, edits)
-        texts.append((start, records.write(record)))
-    return reducer.apply_all(EMPTY, texts).table
+        texts.append((start, records.serialize(record)))
+    return reducer.apply_all(EMPTY_TABLE, texts).table
 
 
 def _set(number: int) -> records.RowEdit:
@@ -63,7 +63,7 @@
 def _edit_of(table: Table) -> str:
     key, held = next(iter(table.rows.items()))
     edit = records.RowEdit(key, held.revision, None)
-    return records.write(records.EditRecord('one', table.offset, (edit,)))
+    return records.serialize(records.EditRecord('one', table.offset, (edit,)))
 
 
 def _start_from(case: str, table: Table, snapshot: str) -> None:
--- a/packages/burdockchute-testing/burdockchute_testing/builders/play.py
+++ b/packages/burdockchute-testing/burdockchute_testing/builders/play.py
@@ -17,7 +17,7 @@
 
 from burdockchute.decisions import admission
 from burdockchute.model.outcomes import Answered
-from burdockchute.model.replies import Finished
+from burdockchute.model.replies import RequestSummary
 from burdockchute.model.requests import RequestContext
 from burdockchute.model.table import Table
 from burdockchute.nodes import links
@@ -160,7 +160,7 @@
 
 
 def figures(
-    finished: Iterable[Finished],
+    finished: Iterable[RequestSummary],
     chosen: Callable[[RequestContext], bool] = lambda ctx: True,
 ) -> Figures:
     """Count the answers of the chosen requests and how long they took."""
--- a/packages/burdockchute-testing/burdockchute_testing/builders/tables.py
+++ b/packages/burdockchute-testing/burdockchute_testing/builders/tables.py
@@ -7,7 +7,7 @@
 from burdockchute.model import records
 from burdockchute.model import reducer
 from burdockchute.model import rows
-from burdockchute.model.table import EMPTY
+from burdockchute.model.table import EMPTY_TABLE
 from burdockchute.model.table import Table
 
 
@@ -44,12 +44,14 @@
 
 def record(record_id: str, *edits: records.RowEdit, as_of: int = -1) -> str:
     """Give the text of an edit record."""
-    return records.write(records.EditRecord(record_id, as_of, tuple(edits)))
+    return records.serialize(
+        records.EditRecord(record_id, as_of, tuple(edits))
+    )
 
 
 def snapshot(table: Table) -> str:
     """Give the text of a snapshot record."""
-    return records.write(records.SnapshotRecord(table))
+    return records.serialize(records.SnapshotRecord(table))
 
 
 def table_of(*made: rows.Row) -> Table:
@@ -57,4 +59,4 @@
     texts = [
         record(f'made-{number}', edit(row)) for number, row in enumerate(made)
     ]
-    return reducer.apply_all(EMPTY, enumerate(texts)).table
+    return reducer.apply_all(EMPTY_TABLE, enumerate(texts)).table
--- a/packages/burdockchute-testing/burdockchute_testing/builders/upstreams.py
+++ b/packages/burdockchute-testing/burdockchute_testing/builders/upstreams.py
@@ -8,8 +8,8 @@
 from burdockchute.decisions.listing import UpstreamList
 from burdockchute.model.positions import Position
 from burdockchute.model.upstreams import Endpoint
-from burdockchute.model.upstreams import Listed
 from burdockchute.model.upstreams import Upstream
+from burdockchute.model.upstreams import UpstreamListed
 
 
 def upstream(**changes: Any) -> Upstream:
@@ -36,5 +36,7 @@
     """Give the list that names these."""
     found = listing.empty()
     for offset, each in enumerate(upstreams):
-        found = listing.on_listed(found, Listed(Position(0, offset), each))
+        found = listing.on_listed(
+            found, UpstreamListed(Position(0, offset), each)
+        )
     return found
--- a/packages/burdockchute-testing/burdockchute_testing/emulator/engines.py
+++ b/packages/burdockchute-testing/burdockchute_testing/emulator/engines.py
@@ -1,6 +1,6 @@
 """A model of an engine that works in passes over a batch.
 
-A pass makes `steps_a_pass` tokens for each request of the batch and reads
+A pass makes `steps_per_pass` tokens for each request of the batch and reads
 prompts for as long as it takes. What finds no slot waits in order. The engine
 tells what it has in hand with a delay, as on the platform.
 """
@@ -105,7 +105,7 @@
         read_s = (
             engine_placement.PASS_TOKENS - room
         ) / cost.prompt_tokens_per_s
-        pass_s = cost.steps_a_pass * step_s + read_s
+        pass_s = cost.steps_per_pass * step_s + read_s
         self.busy_s += pass_s
         self._clock.after(pass_s, self._end_pass)
 
@@ -118,7 +118,7 @@
             if not job.has_begun:
                 job.has_begun = True
                 job.begun()
-            job.answer_left -= self._cost.steps_a_pass
+            job.answer_left -= self._cost.steps_per_pass
             if job.answer_left > 0:
                 left.append(job)
             else:
--- a/packages/burdockchute-testing/burdockchute_testing/emulator/site.py
+++ b/packages/burdockchute-testing/burdockchute_testing/emulator/site.py
@@ -15,7 +15,7 @@
 from burdockchute.decisions.listing import UpstreamList
 from burdockchute.decisions.placement import Work
 from burdockchute.decisions.routing import route_table
-from burdockchute.model.beliefs import Beliefs
+from burdockchute.model.known_state import KnownState
 from burdockchute.model.machines import Bounds
 from burdockchute.model.outcomes import NotRun
 from burdockchute.model.positions import Position
@@ -182,7 +182,7 @@
         self._clock = site.clock
         rng = random.Random(site.rng.random())
         self.scheduler = Scheduler(BOUNDS, lambda: site.clock.now, rng)
-        self.scheduler.update(_beliefs_of(site.deployment))
+        self.scheduler.update(_known_state_of(site.deployment))
         self._waiting: dict[str, tuple[_Call, PendingRequest, Plan, int]] = {}
         self._clock.after(rng.random() * FILL_S, self._tick)
 
@@ -306,7 +306,7 @@
     return Endpoint('10.0.0.1', 1 + number)
 
 
-def _beliefs_of(deployment: Deployment) -> Beliefs:
+def _known_state_of(deployment: Deployment) -> KnownState:
     known = {
         f'i-{number}': KnownUpstream(
             Upstream(
@@ -333,6 +333,6 @@
     )
     limits = CallerLimits(8192, 1_000_000, 1.0, 5.0)
     routes = route_table(Configuration(1, (), (service,), None, limits))
-    return Beliefs(
-        routes=routes, upstreams=UpstreamList(known, {}), listed=True
+    return KnownState(
+        routes=routes, upstreams=UpstreamList(known, {}), upstreams_listed=True
     )
--- a/packages/burdockchute-testing/tests/test_events_page.py
+++ b/packages/burdockchute-testing/tests/test_events_page.py
@@ -37,7 +37,7 @@
         return '', set()
     if called in ('event', 'warn'):
         return first.value, {k.arg for k in call.keywords if k.arg}
-    if called == 'Learnt' and isinstance(call.args[1], ast.Dict):
+    if called == 'StateChange' and isinstance(call.args[1], ast.Dict):
         return first.value, {
             key.value
             for key in call.args[1].keys
--- a/packages/burdockchute/burdockchute/adapters.py
+++ b/packages/burdockchute/burdockchute/adapters.py
@@ -19,11 +19,11 @@
 
 from burdockchute.model.engines import CallFailed
 from burdockchute.model.engines import EngineReport
-from burdockchute.model.engines import Load
-from burdockchute.model.engines import OrderEnd
+from burdockchute.model.engines import LoadOrder
+from burdockchute.model.engines import OrderOutcome
 from burdockchute.model.exchanges import AnswerHead
-from burdockchute.model.exchanges import Asked
-from burdockchute.model.exchanges import Onward
+from burdockchute.model.exchanges import ForwardedRequest
+from burdockchute.model.exchanges import InboundRequest
 from burdockchute.model.feeds import Feeds
 from burdockchute.model.findings import Finding
 from burdockchute.model.findings import not_one_of
@@ -42,7 +42,7 @@
     def report(self) -> Result[EngineReport, CallFailed]:
         """Read what the engine holds and does."""
 
-    def load(self, order: Load) -> OrderEnd:
+    def load(self, order: LoadOrder) -> OrderOutcome:
         """Order the engine to load what is staged."""
 
     def staged(self, model: str, index: int) -> Result[bytes, CallFailed]:
@@ -81,8 +81,8 @@
 
     read_machine: Callable[[str], Result[Machine, list[Finding]]]
     open_feeds: Callable[[Endpoint], Feeds]
-    decode_request: Callable[[str, str, HeaderList], Asked]
-    encode_request: Callable[[Asked, Onward], bytes]
+    decode_request: Callable[[str, str, HeaderList], InboundRequest]
+    encode_request: Callable[[InboundRequest, ForwardedRequest], bytes]
     decode_answer: Callable[[int, HeaderList], AnswerHead]
     event_version: Callable[[bytes], int | None]
     engine: Callable[[Endpoint], Engine]
--- a/packages/burdockchute/burdockchute/callers/http.py
+++ b/packages/burdockchute/burdockchute/callers/http.py
@@ -31,7 +31,7 @@
 from burdockchute.model.outcomes import NotRun
 from burdockchute.model.outcomes import Outcome
 from burdockchute.model.outcomes import Unknown
-from burdockchute.model.replies import Began
+from burdockchute.model.replies import AnswerStarted
 from burdockchute.model.replies import Done
 from burdockchute.model.replies import Part
 from burdockchute.model.replies import Reply
@@ -257,7 +257,7 @@
         return _answer_outcome(ex, Unknown('caller has gone'))
     if isinstance(first, Done):
         return _answer_outcome(ex, first.outcome)
-    assert isinstance(first, Began)
+    assert isinstance(first, AnswerStarted)
     headers = [
         ('Content-Type', sse.CONTENT_TYPE),
         ('Cache-Control', 'no-store'),
@@ -286,7 +286,7 @@
 
     def __next__(self) -> bytes:
         reply = next(self._replies)
-        while isinstance(reply, Began):
+        while isinstance(reply, AnswerStarted):
             reply = next(self._replies)
         if isinstance(reply, Part):
             self._parts += 1
--- a/packages/burdockchute/burdockchute/callers/parse.py
+++ b/packages/burdockchute/burdockchute/callers/parse.py
@@ -224,16 +224,16 @@
     model: str, adapter: str, customer: CustomerRow, table: Table
 ) -> tuple[str, str] | Rejection:
     if not adapter:
-        by_name = tables.row_of(table, AdapterRow, model)
+        by_name = tables.find_row(table, AdapterRow, model)
         if by_name is not None:
             adapter, model = model, by_name.base
-    if tables.row_of(table, ModelRow, model) is None:
+    if tables.find_row(table, ModelRow, model) is None:
         return _unknown('body.model', model, 'model')
     if not adapter:
         if not auth.may_call(customer, model):
             return _forbidden('body.model', customer, model)
         return 'model', model
-    row = tables.row_of(table, AdapterRow, adapter)
+    row = tables.find_row(table, AdapterRow, adapter)
     if row is None:
         return _unknown('body.adapter', adapter, 'adapter')
     if row.base != model:
@@ -254,7 +254,7 @@
     rest = arrival.path[len(SERVICES_PREFIX) :]
     name, _slash, path = rest.partition('/')
     name = name.partition('?')[0]
-    row = tables.row_of(table, ServiceRow, name)
+    row = tables.find_row(table, ServiceRow, name)
     if row is None:
         return Failure(_unknown('path', name, 'service'))
     if not auth.may_call(customer, name):
--- a/packages/burdockchute/burdockchute/decisions/engine_placement.py
+++ b/packages/burdockchute/burdockchute/decisions/engine_placement.py
@@ -118,7 +118,9 @@
     others_unread = view.others * OTHERS_PREFILL_SHARE + view.unreported
     others_tokens = others_unread * cost.usual_prompt_tokens
     tokens = prompt_tokens + view.unread_tokens + others_tokens
-    pass_s = cost.steps_a_pass * (cost.step_s + cost.request_step_s * running)
+    pass_s = cost.steps_per_pass * (
+        cost.step_s + cost.request_step_s * running
+    )
     passes = 1 + tokens / PASS_TOKENS
     prefill_s = tokens / cost.prompt_tokens_per_s if tokens else 0.0
     return view.slowness * (passes * pass_s + prefill_s)
--- a/packages/burdockchute/burdockchute/decisions/listing.py
+++ b/packages/burdockchute/burdockchute/decisions/listing.py
@@ -38,9 +38,9 @@
 
 from burdockchute.model.positions import Position
 from burdockchute.model.upstreams import Endpoint
-from burdockchute.model.upstreams import Listed
-from burdockchute.model.upstreams import Unlisted
 from burdockchute.model.upstreams import Upstream
+from burdockchute.model.upstreams import UpstreamListed
+from burdockchute.model.upstreams import UpstreamUnlisted
 
 # Upstreams are listed again about two seconds after the return, which is
 # noticed a moment later. A process counts as up to date three seconds after
@@ -93,7 +93,7 @@
     )
 
 
-def on_listed(listed: UpstreamList, entry: Listed) -> UpstreamList:
+def on_listed(listed: UpstreamList, entry: UpstreamListed) -> UpstreamList:
     """Return the list after an upstream was listed."""
     upstream, position = entry.upstream, entry.position
     old = listed.known.get(upstream.id)
@@ -117,7 +117,7 @@
 
 
 def on_unlisted(
-    listed: UpstreamList, entry: Unlisted, now: float
+    listed: UpstreamList, entry: UpstreamUnlisted, now: float
 ) -> UpstreamList:
     """Return the list after an entry was removed."""
     old = listed.known.get(entry.id)
@@ -139,14 +139,14 @@
     """
     last_read = position._replace(offset=position.offset - 1)
     for name in [n for n in listed.known if n not in names]:
-        missing = Unlisted(last_read, name, 'missing from the list')
+        missing = UpstreamUnlisted(last_read, name, 'missing from the list')
         listed = on_unlisted(listed, missing, now)
     return listed
 
 
 def on_restored(
     listed: UpstreamList,
-    entries: Sequence[Listed],
+    entries: Sequence[UpstreamListed],
     position: Position,
     now: float,
 ) -> UpstreamList:
--- a/packages/burdockchute/burdockchute/decisions/suspects.py
+++ b/packages/burdockchute/burdockchute/decisions/suspects.py
@@ -30,7 +30,7 @@
 
 from typing import NamedTuple
 
-from burdockchute.model.crashes import CrashLearned
+from burdockchute.model.crash_reports import PeerCrashReport
 
 CRASHES_TO_CONVICT = 2
 SHARED_CRASHES_TO_CONVICT = 3
@@ -90,14 +90,14 @@
         self.refuse(fingerprint, REFUSE_S, now)
         return True
 
-    def peer_reported(self, report: CrashLearned, now: float) -> None:
+    def peer_reported(self, report: PeerCrashReport, now: float) -> None:
         """Count a crash that another entry reported.
 
         An upstream that loses answers aborts many requests, and frequent ones
         repeatedly; the reports of all entries would soon convict these. So
         a request that other entries lose at the same upstream counts once.
         """
-        seen, at = report.seen, now - report.age_s
+        seen, at = report.crash, now - report.age_s
         known = self._records.get(seen.fingerprint)
         if known is None or known.upstream != seen.upstream:
             self.crashed(seen.fingerprint, seen.upstream, seen.alone, at)
--- a/packages/burdockchute/burdockchute/following.py
+++ b/packages/burdockchute/burdockchute/following.py
@@ -28,15 +28,15 @@
 from burdockchute import metrics
 from burdockchute.decisions import listing
 from burdockchute.decisions import startup
-from burdockchute.model import beliefs as belief
-from burdockchute.model.beliefs import Beliefs
-from burdockchute.model.beliefs import Hearsay
-from burdockchute.model.beliefs import Learnt
+from burdockchute.model import known_state as state_updates
+from burdockchute.model.agent_requirements import AgentRequirements
 from burdockchute.model.feeds import Batch
 from burdockchute.model.feeds import FeedError
 from burdockchute.model.feeds import Feeds
 from burdockchute.model.feeds import ReadFeed
-from burdockchute.model.needs import Needs
+from burdockchute.model.known_state import KnownState
+from burdockchute.model.known_state import PeerReport
+from burdockchute.model.known_state import StateChange
 from burdockchute.model.positions import Position
 
 # A connection that has gone silent is noticed only when a read that was to
@@ -181,7 +181,7 @@
 
 
 class Follower:
-    """Keeps `beliefs`; calls `changed` with each new value of it.
+    """Keeps `known_state`; calls `changed` with each new value of it.
 
     `wishes_cadence` gives None while others tell what operators want.
     """
@@ -189,13 +189,13 @@
     def __init__(
         self,
         feeds: Feeds,
-        changed: Callable[[Beliefs], None],
+        changed: Callable[[KnownState], None],
         now: Callable[[], float],
         rng: random.Random,
         wishes_cadence: Callable[[], Cadence | None],
         upstreams_cadence: Cadence,
     ) -> None:
-        self.beliefs = Beliefs()
+        self.known_state = KnownState()
         self._feeds = feeds
         self._changed = changed
         self._now = now
@@ -225,7 +225,7 @@
     def follow_wishes(self) -> None:
         """Follow what operators want, for ever."""
         self._follow(
-            self._feeds.wishes,
+            self._feeds.desired_state,
             self._wishes_cadence,
             self.wishes_contact,
             self._take_wishes,
@@ -240,13 +240,19 @@
             self._take_upstreams,
         )
 
-    def hear(self, told: Sequence[Hearsay]) -> None:
+    def hear(self, told: Sequence[PeerReport]) -> None:
         """Take in when other processes learnt of versions."""
-        self._replace(*belief.take_hearsay(self.beliefs, told, self._now()))
+        self._replace(
+            *state_updates.apply_peer_reports(
+                self.known_state, told, self._now()
+            )
+        )
 
-    def hear_needs(self, told: Needs) -> None:
+    def hear_needs(self, told: AgentRequirements) -> None:
         """Take in what an agent needs of the configuration."""
-        self._replace(*belief.take_told_needs(self.beliefs, told))
+        self._replace(
+            *state_updates.apply_reported_requirements(self.known_state, told)
+        )
 
     def hear_configuration(self, version: int) -> None:
         """Take in the version of the configuration that a neighbour knows."""
@@ -309,14 +315,14 @@
             now = self._wait_for_neighbours(batch.position)
         self._wishes_read = True
         least = self._heard.configuration
-        after, learnt = belief.take_wishes(
-            self.beliefs, batch, first, now, least
+        after, learnt = state_updates.apply_desired_state(
+            self.known_state, batch, first, now, least
         )
-        if after.held_back is not None:
-            if self.beliefs.held_back is None:
+        if after.held_back_configuration is not None:
+            if self.known_state.held_back_configuration is None:
                 self._held_back_at = now
             elif startup.may_serve_outdated(self._held_back_at, now):
-                after, taken = belief.take_held_back(after)
+                after, taken = state_updates.apply_held_back(after)
                 learnt = [*learnt, *taken]
         self._replace(after, learnt)
 
@@ -332,14 +338,14 @@
     def _take_upstreams(
         self, batch: Batch, returned: Returned, now: float
     ) -> None:
-        before = self.beliefs
+        before = self.known_state
         if returned.regained or returned.restored:
             upstreams = listing.on_store_return(before.upstreams, now)
             before = before._replace(upstreams=upstreams)
             gevent.spawn_later(listing.SETTLE_S, self._settle)
-        take = belief.take_upstreams
+        take = state_updates.apply_upstreams
         if returned.restored:
-            take = belief.take_restored_upstreams
+            take = state_updates.apply_restored_upstreams
         after, learnt = take(before, batch, now)
         self._replace(after, learnt)
 
@@ -351,14 +357,16 @@
         """
         nothing = Batch(Position(0, 0), False, ())
         self._replace(
-            *belief.take_upstreams(self.beliefs, nothing, self._now())
+            *state_updates.apply_upstreams(
+                self.known_state, nothing, self._now()
+            )
         )
 
-    def _replace(self, after: Beliefs, learnt: list[Learnt]) -> None:
+    def _replace(self, after: KnownState, learnt: list[StateChange]) -> None:
         for item in learnt:
             logs.event(item.event, logging.INFO, **item.fields)
-        changed = bool(learnt) or after.complete != self.beliefs.complete
-        self.beliefs = after
+        changed = bool(learnt) or after.complete != self.known_state.complete
+        self.known_state = after
         if changed:
             self._changed(after)
 
--- a/packages/burdockchute/burdockchute/model/claims.py
+++ b/packages/burdockchute/burdockchute/model/claims.py
@@ -10,7 +10,7 @@
 from burdockchute.model.requests import RequestContext
 
 
-class ClaimWanted(NamedTuple):
+class ClaimRequested(NamedTuple):
     """A non-idempotent request may be dispatched once its key is won.
 
     The verdict goes to the queue `replies` as one `ClaimDecided`.
--- a/packages/burdockchute/burdockchute/model/crashes.py
+++ b/packages/burdockchute/burdockchute/model/crash_reports.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class CrashSeen(NamedTuple):
+class CrashReport(NamedTuple):
     """An upstream went away with this request in flight.
 
     `alone` is true where it ran there by itself, `convicted` where it is
@@ -18,8 +18,8 @@
     convicted: bool
 
 
-class CrashLearned(NamedTuple):
+class PeerCrashReport(NamedTuple):
     """Another entry saw a crash, `age_s` ago."""
 
-    seen: CrashSeen
+    crash: CrashReport
     age_s: float
--- a/packages/burdockchute/burdockchute/model/deltas.py
+++ b/packages/burdockchute/burdockchute/model/deltas.py
@@ -21,23 +21,23 @@
 
 from burdockchute.model import checks
 from burdockchute.model.findings import Finding
-from burdockchute.model.reducer import Touched
+from burdockchute.model.reducer import ChangedRow
 from burdockchute.model.rows import KINDS
 from burdockchute.model.rows import RowKey
 from burdockchute.model.table import NO_OFFSET
 from burdockchute.model.table import Revisioned
-from burdockchute.model.table import Seen
+from burdockchute.model.table import SeenRecord
 from burdockchute.model.table import Table
 from burdockchute.wire import messages
 
 # Enough changes for a peer that was away for an hour of the busiest site's
 # 41,000 a day; one further behind gets the whole table.
-KEPT_CHANGES = 2048
+MAX_KEPT_CHANGES = 2048
 
 AGENT_KINDS = ('model', 'adapter', 'service')
 
 
-class NeedWhole(NamedTuple):
+class FullTableNeeded(NamedTuple):
     """The delta starts beyond what is held; ask for the whole table."""
 
     held: int
@@ -51,7 +51,7 @@
     findings: tuple[Finding, ...] = ()
 
 
-def whole(table: Table, with_seen: bool = False) -> messages.TableDelta:
+def full_table(table: Table, with_seen: bool = False) -> messages.TableDelta:
     """Give the whole table.
 
     `with_seen` adds the ids of recent records, which a process needs that
@@ -64,7 +64,7 @@
     return delta
 
 
-def for_agents(delta: messages.TableDelta) -> messages.TableDelta:
+def filter_for_agents(delta: messages.TableDelta) -> messages.TableDelta:
     """Leave out the rows that agents have no use for.
 
     Every change goes to each agent from four entries; keys and limits of
@@ -76,7 +76,7 @@
 
 def apply_delta(
     table: Table, delta: messages.TableDelta
-) -> Result[Applied, NeedWhole]:
+) -> Result[Applied, FullTableNeeded]:
     """Give the table after a delta, forward only.
 
     A delta that ends at or below the table's offset changes nothing.
@@ -88,7 +88,7 @@
     if delta.to_offset <= table.offset:
         return Success(Applied(table))
     if delta.from_offset > table.offset:
-        return Failure(NeedWhole(table.offset, delta.from_offset))
+        return Failure(FullTableNeeded(table.offset, delta.from_offset))
     is_whole = delta.from_offset == NO_OFFSET
     rows = {} if is_whole else dict(table.rows)
     found: list[Finding] = []
@@ -97,13 +97,13 @@
     applied = Table(
         delta.to_offset,
         MappingProxyType(rows),
-        tuple(Seen(s.offset, s.record_id) for s in delta.seen or []),
+        tuple(SeenRecord(s.offset, s.record_id) for s in delta.seen or []),
         NO_OFFSET if delta.forgotten is None else delta.forgotten,
     )
     return Success(Applied(applied, tuple(found)))
 
 
-class Changes:
+class RecentChanges:
     """The rows touched of late, from which deltas for peers are made.
 
     Two tables do not suffice for that: a row that was added and removed
@@ -111,20 +111,20 @@
     it and has to be told.
     """
 
-    def __init__(self, kept: int = KEPT_CHANGES) -> None:
-        self._kept = kept
-        self._touched: collections.deque[Touched] = collections.deque()
+    def __init__(self, max_kept: int = MAX_KEPT_CHANGES) -> None:
+        self._max_kept = max_kept
+        self._touched: collections.deque[ChangedRow] = collections.deque()
         self._covered_from: int | None = None
 
-    def add(self, from_offset: int, touched: Iterable[Touched]) -> None:
+    def add(self, from_offset: int, touched: Iterable[ChangedRow]) -> None:
         """Note what was touched since a table at `from_offset`."""
         if self._covered_from is None:
             self._covered_from = from_offset
         self._touched.extend(touched)
-        while len(self._touched) > self._kept:
+        while len(self._touched) > self._max_kept:
             self._covered_from = self._touched.popleft().offset
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Begin anew, after the table moved on in an unknown way."""
         self._touched.clear()
         self._covered_from = None
@@ -133,7 +133,7 @@
         """Give what a peer at `offset` lacks, the whole if need be."""
         covered = self._covered_from
         if offset == NO_OFFSET or covered is None or offset < covered:
-            return whole(table)
+            return full_table(table)
         keys = {key for at, key in self._touched if at > offset}
         return _delta(min(offset, table.offset), table, sorted(keys))
 
--- a/packages/burdockchute/burdockchute/model/engines.py
+++ b/packages/burdockchute/burdockchute/model/engines.py
@@ -26,7 +26,7 @@
     slowness: float
 
 
-class Load(NamedTuple):
+class LoadOrder(NamedTuple):
     """The order to load the staged version of a model.
 
     It holds only for an engine whose sequence is still `sequence`. With
@@ -39,10 +39,10 @@
     finish_running: bool = True
 
 
-class OrderEnd(enum.Enum):
+class OrderOutcome(enum.Enum):
     """What became of an order."""
 
-    BEGUN = 'begun'
+    STARTED = 'begun'
     IN_EFFECT = 'in_effect'
     REFUSED = 'refused'
     UNKNOWN = 'unknown'
--- a/packages/burdockchute/burdockchute/model/exchanges.py
+++ b/packages/burdockchute/burdockchute/model/exchanges.py
@@ -11,7 +11,7 @@
 Headers = tuple[tuple[str, str], ...]
 
 
-class Asked(NamedTuple):
+class InboundRequest(NamedTuple):
     """A caller's request.
 
     `target` is path and query as they came. `time_left_s` is how long the
@@ -41,7 +41,7 @@
         return self.target.partition('?')[0]
 
 
-class Onward(NamedTuple):
+class ForwardedRequest(NamedTuple):
     """What this system adds when it hands a request on.
 
     `instance` is the id of the upstream that must run it, `version` that of
--- a/packages/burdockchute/burdockchute/model/feeds.py
+++ b/packages/burdockchute/burdockchute/model/feeds.py
@@ -1,7 +1,7 @@
 """What is read from the platform: wishes of operators and the upstreams.
 
 A feed is read by position. Without one it gives all that is in force, as
-`whole`; what is missing then is not in force any more. With one it gives
+`complete`; what is missing then is not in force any more. With one it gives
 what has changed since, or all where that can't be told: a store that came
 back from a copy has other records at the same offsets.
 """
@@ -15,8 +15,8 @@
 
 from burdockchute.model.positions import Position
 from burdockchute.model.routes import Configuration
-from burdockchute.model.upstreams import Listed
-from burdockchute.model.upstreams import Unlisted
+from burdockchute.model.upstreams import UpstreamListed
+from burdockchute.model.upstreams import UpstreamUnlisted
 
 
 class ConfigurationRead(NamedTuple):
@@ -32,21 +32,27 @@
     version: int
 
 
-class Unreadable(NamedTuple):
+class UnreadableRecord(NamedTuple):
     """A record that says nothing usable; it changes nothing."""
 
     key: str
     reason: str
 
 
-Change = ConfigurationRead | VersionRead | Listed | Unlisted | Unreadable
+Change = (
+    ConfigurationRead
+    | VersionRead
+    | UpstreamListed
+    | UpstreamUnlisted
+    | UnreadableRecord
+)
 
 
 class Batch(NamedTuple):
     """Changes in their order; the next read goes on at `position`."""
 
     position: Position
-    whole: bool
+    complete: bool
     changes: tuple[Change, ...]
 
 
@@ -66,5 +72,5 @@
 class Feeds(NamedTuple):
     """The two feeds; each reader waits up to so many seconds for a change."""
 
-    wishes: ReadFeed
+    desired_state: ReadFeed
     upstreams: ReadFeed
--- a/packages/burdockchute/burdockchute/model/link_news.py
+++ b/packages/burdockchute/burdockchute/model/link_events.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class ProbeWanted(NamedTuple):
+class ProbeRequested(NamedTuple):
     """The link to an agent is to be probed; `sent_at` comes back with it."""
 
     agent: str
@@ -19,7 +19,7 @@
     sent_at: float
 
 
-class LinkTold(NamedTuple):
+class LinkStateReport(NamedTuple):
     """An entry tells the others whether the link to an agent is slow."""
 
     agent: str
@@ -32,4 +32,4 @@
     agent: str
 
 
-LinkEvent = ProbeReturned | LinkTold | LinkLost
+LinkEvent = ProbeReturned | LinkStateReport | LinkLost
--- a/packages/burdockchute/burdockchute/model/records.py
+++ b/packages/burdockchute/burdockchute/model/records.py
@@ -25,7 +25,7 @@
 from burdockchute.model.rows import RowKey
 from burdockchute.model.table import NO_OFFSET
 from burdockchute.model.table import Revisioned
-from burdockchute.model.table import Seen
+from burdockchute.model.table import SeenRecord
 from burdockchute.model.table import Table
 
 FORMAT = 1
@@ -77,7 +77,7 @@
     >>> parse('{"format": 2}', 'table@7').failure()
     [Finding(place='table@7:format', text='2 is not one of 1')]
     """
-    head = parse_head(data, place)
+    head = parse_header(data, place)
     if isinstance(head, Failure):
         return head
     document = head.unwrap()
@@ -86,7 +86,9 @@
     return _parse_edit(document, place)
 
 
-def parse_head(data: str, place: str) -> Result[dict[str, Any], list[Finding]]:
+def parse_header(
+    data: str, place: str
+) -> Result[dict[str, Any], list[Finding]]:
     """Give the JSON object of a record of a known format and type."""
     try:
         document = json.loads(data)
@@ -107,7 +109,7 @@
     data: str, place: str
 ) -> Result[EditRecord | None, list[Finding]]:
     """Give an edit, None for a snapshot, whose rows are left unread."""
-    head = parse_head(data, place)
+    head = parse_header(data, place)
     if isinstance(head, Failure):
         return head
     document = head.unwrap()
@@ -116,7 +118,7 @@
     return _parse_edit(document, place)
 
 
-def write(record: Record) -> str:
+def serialize(record: Record) -> str:
     """Give the text to append; `parse` gives the same record back."""
     if isinstance(record, SnapshotRecord):
         return _to_json(_snapshot_document(record.table))
@@ -311,7 +313,9 @@
     )
 
 
-def _parse_seen(items: Any, place: str, found: list[Finding]) -> list[Seen]:
+def _parse_seen(
+    items: Any, place: str, found: list[Finding]
+) -> list[SeenRecord]:
     if isinstance(items, list) and all(
         isinstance(item, list)
         and len(item) == 2
@@ -319,7 +323,7 @@
         and isinstance(item[1], str)
         for item in items
     ):
-        return [Seen(*item) for item in items]
+        return [SeenRecord(*item) for item in items]
     found.append(Finding(f'{place}:seen', 'must be a list of [offset, id]'))
     return []
 
--- a/packages/burdockchute/burdockchute/model/reducer.py
+++ b/packages/burdockchute/burdockchute/model/reducer.py
@@ -28,7 +28,7 @@
 from burdockchute.model.records import RowEdit
 from burdockchute.model.rows import RowKey
 from burdockchute.model.table import Revisioned
-from burdockchute.model.table import Seen
+from burdockchute.model.table import SeenRecord
 from burdockchute.model.table import Table
 
 # Some minutes of edits at twenty times the 41,000 of a day that the largest
@@ -67,28 +67,28 @@
     forgotten: int
 
 
-class FromLater(NamedTuple):
+class AsOfInFuture(NamedTuple):
     """Claims to be made from a table that comes after it; refused."""
 
     as_of: int
 
 
-class Touched(NamedTuple):
+class ChangedRow(NamedTuple):
     """A row that the record at `offset` set or removed."""
 
     offset: int
     key: RowKey
 
 
-class Reduced(NamedTuple):
+class ReducedBatch(NamedTuple):
     """The table after a batch, its findings and the rows it touched."""
 
     table: Table
     findings: list[Finding]
-    touched: list[Touched]
+    changed_rows: list[ChangedRow]
 
 
-Verdict = Accepted | Conflict | Duplicate | TooOld | FromLater
+Verdict = Accepted | Conflict | Duplicate | TooOld | AsOfInFuture
 
 
 def apply_record(
@@ -103,14 +103,14 @@
     return reduced.table, reduced.findings
 
 
-def apply_all(table: Table, batch: Iterable[tuple[int, str]]) -> Reduced:
+def apply_all(table: Table, batch: Iterable[tuple[int, str]]) -> ReducedBatch:
     """Give the same as `apply_record` for each, copying the rows once.
 
-    Offsets must rise. `touched` tells every row that was set or removed,
+    Offsets must rise. `changed_rows` tells every row that was set or removed,
     also one that a later record of the batch put back as it was.
     """
     found: list[Finding] = []
-    touched: list[Touched] = []
+    touched: list[ChangedRow] = []
     rows = dict(table.rows)
     for offset, data in batch:
         if offset <= table.offset:
@@ -126,17 +126,17 @@
         verdict = _judge(table, rows, offset, record)
         if isinstance(verdict, Accepted):
             _edit(rows, offset, record.edits)
-            touched.extend(Touched(offset, e.key) for e in record.edits)
+            touched.extend(ChangedRow(offset, e.key) for e in record.edits)
         else:
             found.append(Finding(place_of(offset), describe(verdict)))
         if not isinstance(verdict, Duplicate):
             table = _remember(table, offset, record.record_id)
     if touched:
         table = table._replace(rows=MappingProxyType(rows))
-    return Reduced(table, found, touched)
+    return ReducedBatch(table, found, touched)
 
 
-def judge(table: Table, offset: int, record: EditRecord) -> Verdict:
+def evaluate_edit(table: Table, offset: int, record: EditRecord) -> Verdict:
     """Tell what becomes of an edit that follows on this table."""
     return _judge(table, table.rows, offset, record)
 
@@ -165,7 +165,7 @@
             f'made from the table at {verdict.as_of}, but only ids after '
             f'{verdict.forgotten} are still known'
         )
-    if isinstance(verdict, FromLater):
+    if isinstance(verdict, AsOfInFuture):
         return f'as_of {verdict.as_of} is not before the record'
     return 'accepted'
 
@@ -180,7 +180,7 @@
         if seen.record_id == record.record_id:
             return Duplicate(seen.offset)
     if record.as_of >= offset:
-        return FromLater(record.as_of)
+        return AsOfInFuture(record.as_of)
     if record.as_of < table.forgotten:
         return TooOld(record.as_of, table.forgotten)
     for edit in record.edits:
@@ -201,7 +201,7 @@
 
 
 def _remember(table: Table, offset: int, record_id: str) -> Table:
-    seen = (*table.seen, Seen(offset, record_id))
+    seen = (*table.seen, SeenRecord(offset, record_id))
     if len(seen) <= SEEN_RECORDS:
         return table._replace(seen=seen)
     return table._replace(seen=seen[1:], forgotten=seen[0].offset)
--- a/packages/burdockchute/burdockchute/model/replies.py
+++ b/packages/burdockchute/burdockchute/model/replies.py
@@ -22,7 +22,7 @@
     request_id: str
 
 
-class Began(NamedTuple):
+class AnswerStarted(NamedTuple):
     """The first part follows; the answer comes from these weights."""
 
     digest: str
@@ -41,10 +41,10 @@
     outcome: Outcome
 
 
-Reply = Began | Part | Done
+Reply = AnswerStarted | Part | Done
 
 
-class Finished(NamedTuple):
+class RequestSummary(NamedTuple):
     """What the entry measured of one request, for objectives and metrics.
 
     Times are seconds after arrival; `first_part_s` is None where no part
--- a/packages/burdockchute/burdockchute/model/routes.py
+++ b/packages/burdockchute/burdockchute/model/routes.py
@@ -61,13 +61,13 @@
 
     A step makes one token for each running request and takes `step_s` plus
     `request_step_s` for each of them; prompts are read at
-    `prompt_tokens_per_s`. A pass of the batch makes `steps_a_pass` steps.
+    `prompt_tokens_per_s`. A pass of the batch makes `steps_per_pass` steps.
     """
 
     step_s: float
     request_step_s: float
     prompt_tokens_per_s: float
-    steps_a_pass: int
+    steps_per_pass: int
     usual_prompt_tokens: float
     usual_answer_tokens: float
 
--- a/packages/burdockchute/burdockchute/model/table.py
+++ b/packages/burdockchute/burdockchute/model/table.py
@@ -29,7 +29,7 @@
     revision: int
 
 
-class Seen(NamedTuple):
+class SeenRecord(NamedTuple):
     """The id of a record that was applied or refused, with its offset."""
 
     offset: int
@@ -43,20 +43,20 @@
     a second copy of one is known; `forgotten` is the offset of the newest
     that was dropped from it, -1 for none.
 
-    >>> models(EMPTY)
+    >>> models(EMPTY_TABLE)
     {}
     """
 
     offset: int
     rows: Mapping[RowKey, Revisioned]
-    seen: tuple[Seen, ...] = ()
+    seen: tuple[SeenRecord, ...] = ()
     forgotten: int = NO_OFFSET
 
 
-EMPTY = Table(NO_OFFSET, MappingProxyType({}))
+EMPTY_TABLE = Table(NO_OFFSET, MappingProxyType({}))
 
 
-def row_of(table: Table, row_type: type[RowT], name: str) -> RowT | None:
+def find_row(table: Table, row_type: type[RowT], name: str) -> RowT | None:
     """Give the row of a type by its name, None if there is none.
 
     It does not depend on how many rows there are; the functions below go
--- a/packages/burdockchute/burdockchute/model/upstreams.py
+++ b/packages/burdockchute/burdockchute/model/upstreams.py
@@ -41,14 +41,14 @@
     started_ms: int | None
 
 
-class Listed(NamedTuple):
+class UpstreamListed(NamedTuple):
     """The list names an upstream or has changed what it says of one."""
 
     position: Position
     upstream: Upstream
 
 
-class Unlisted(NamedTuple):
+class UpstreamUnlisted(NamedTuple):
     """The list names an upstream no more, or says nothing usable of it."""
 
     position: Position
--- a/packages/burdockchute/burdockchute/nodes/wishes_news.py
+++ b/packages/burdockchute/burdockchute/nodes/wishes_news.py
@@ -18,8 +18,8 @@
 from collections.abc import Sequence
 
 from burdockchute.decisions.versions import History
-from burdockchute.model.beliefs import Hearsay
-from burdockchute.model.needs import Needs
+from burdockchute.model.agent_requirements import AgentRequirements
+from burdockchute.model.known_state import PeerReport
 from burdockchute.wire import messages
 
 UNKNOWN = -1
@@ -48,10 +48,10 @@
 
 def heard_of(
     news: Sequence[messages.NamedVersion], now: float
-) -> list[Hearsay]:
+) -> list[PeerReport]:
     """Give what was told, in this process's own time."""
     return [
-        Hearsay(
+        PeerReport(
             item.model,
             item.version,
             None if item.age_ms == UNKNOWN else now - item.age_ms / 1000,
@@ -60,10 +60,10 @@
     ]
 
 
-def needs_news(needs: Needs | None) -> messages.AgentNeeds | None:
+def needs_news(needs: AgentRequirements | None) -> messages.AgentNeeds | None:
     """Give what to tell of an agent's needs.
 
-    >>> needs_news(Needs(7, ('story',), 4, '10.0.0.1:80')).models
+    >>> needs_news(AgentRequirements(7, ('story',), 4, '10.0.0.1:80')).models
     ['story']
     """
     if needs is None:
@@ -73,10 +73,10 @@
     )
 
 
-def needs_heard(news: messages.AgentNeeds | None) -> Needs | None:
+def needs_heard(news: messages.AgentNeeds | None) -> AgentRequirements | None:
     """Give the needs that were told, None where the other knows none."""
     if news is None:
         return None
-    return Needs(
+    return AgentRequirements(
         news.configuration, tuple(news.models), news.slots, news.origin
     )
--- a/packages/burdockchute/burdockchute/operators/table_edits.py
+++ b/packages/burdockchute/burdockchute/operators/table_edits.py
@@ -11,7 +11,7 @@
 from returns.result import Success
 
 from burdockchute.model import checks
-from burdockchute.model import relations
+from burdockchute.model import references
 from burdockchute.model.findings import Finding
 from burdockchute.model.records import RowEdit
 from burdockchute.model.rows import key_of
@@ -121,7 +121,7 @@
             after.pop(edit.key, None)
         else:
             after[edit.key] = edit.row
-    found = relations.new_problems(before, after)
+    found = references.new_problems(before, after)
     if found:
         return Failure([_with_place(finding, places) for finding in found])
     return Success(edits)
--- a/packages/burdockchute/burdockchute/operators/table_history.py
+++ b/packages/burdockchute/burdockchute/operators/table_history.py
@@ -13,7 +13,7 @@
 from burdockchute.model import reducer
 from burdockchute.model.records import EditRecord
 from burdockchute.model.rows import RowKey
-from burdockchute.model.table import EMPTY
+from burdockchute.model.table import EMPTY_TABLE
 from burdockchute.model.table import Table
 from burdockchute.operators import table_text
 from burdockchute.platform import table_log
@@ -43,7 +43,11 @@
     read = table_log.read_range(log, extent.earliest, extent.next_offset)
     if isinstance(read, Failure):
         return read
-    table = EMPTY if extent.earliest == 0 else _oldest_snapshot(read.unwrap())
+    table = (
+        EMPTY_TABLE
+        if extent.earliest == 0
+        else _oldest_snapshot(read.unwrap())
+    )
     past = _replay(read.unwrap(), table)
     return Success([p for keys, p in past if key is None or key in keys])
 
@@ -81,7 +85,7 @@
     verdict = 'no longer known'
     rows = {}
     if table is not None and offset > table.offset:
-        judged = reducer.judge(table, offset, record)
+        judged = reducer.evaluate_edit(table, offset, record)
         is_accepted = isinstance(judged, reducer.Accepted)
         text = reducer.describe(judged)
         verdict = text if is_accepted else f'refused: {text}'
--- a/packages/burdockchute/burdockchute/operators/table_writer.py
+++ b/packages/burdockchute/burdockchute/operators/table_writer.py
@@ -17,7 +17,7 @@
 from burdockchute.model import reducer
 from burdockchute.model.records import EditRecord
 from burdockchute.model.records import parse_edit
-from burdockchute.model.records import write
+from burdockchute.model.records import serialize
 from burdockchute.model.table import Table
 from burdockchute.platform import table_log
 from burdockchute.platform.log import Log
@@ -78,7 +78,7 @@
     `table` is the one that the edits were made from. `clock` gives seconds.
     """
     until = clock() + timeout_s
-    text = write(record)
+    text = serialize(record)
     maybe_appended = False
     error: object = ''
     while clock() < until:
@@ -137,8 +137,8 @@
 def _judged(
     table: Table, offset: int, record: EditRecord
 ) -> Result[Saved, NotSaved]:
-    verdict = reducer.judge(table, offset, record)
-    after, _findings = reducer.apply_record(table, offset, write(record))
+    verdict = reducer.evaluate_edit(table, offset, record)
+    after, _findings = reducer.apply_record(table, offset, serialize(record))
     if isinstance(verdict, reducer.Accepted):
         return Success(Saved(offset, after))
     return Failure(LostRace(offset, verdict, after))
--- a/packages/burdockchute/burdockchute/platform/table_log.py
+++ b/packages/burdockchute/burdockchute/platform/table_log.py
@@ -16,7 +16,7 @@
 from burdockchute.model import records
 from burdockchute.model import reducer
 from burdockchute.model.findings import Finding
-from burdockchute.model.table import EMPTY
+from burdockchute.model.table import EMPTY_TABLE
 from burdockchute.model.table import NO_OFFSET
 from burdockchute.model.table import Table
 from burdockchute.platform.log import Extent
@@ -66,7 +66,7 @@
 
 def snapshot_as_of(data: str) -> int:
     """Give the offset of a snapshot's table, -1 for any other record."""
-    head = records.parse_head(data, '')
+    head = records.parse_header(data, '')
     if isinstance(head, Failure) or head.unwrap()['type'] != 'snapshot':
         return NO_OFFSET
     as_of = head.unwrap().get('as_of')
@@ -120,7 +120,7 @@
     # is still kept from there.
     if extent.earliest > 0:
         return Failure(Lost(extent.earliest))
-    return Success(_loaded(EMPTY, held, extent, NO_OFFSET))
+    return Success(_loaded(EMPTY_TABLE, held, extent, NO_OFFSET))
 
 
 def _newest_snapshot(held: list[LogRecord], extent: Extent) -> Table | None:
--- a/packages/burdockchute/tests/callers/test_http.py
+++ b/packages/burdockchute/tests/callers/test_http.py
@@ -16,7 +16,7 @@
 from burdockchute.model.outcomes import Answered
 from burdockchute.model.outcomes import NotRun
 from burdockchute.model.outcomes import Unknown
-from burdockchute.model.replies import Began
+from burdockchute.model.replies import AnswerStarted
 from burdockchute.model.replies import Done
 from burdockchute.model.replies import Part
 from burdockchute_testing.builders import requests
@@ -69,7 +69,7 @@
 
     def test_plain_answer(self):
         self.replies = [
-            Began('d1', ''),
+            AnswerStarted('d1', ''),
             Part(b'{"text": "hi"}'),
             Done(Answered(200, 'application/json', b'', 'd1', '')),
         ]
@@ -82,7 +82,7 @@
 
     def test_streamed_answer_ends_with_its_outcome(self):
         self.replies = [
-            Began('d1', ''),
+            AnswerStarted('d1', ''),
             Part(b'{"text": "a"}'),
             Part(b'{"text": "b"}'),
             Done(Answered(200, 'text/event-stream', b'', 'd1', '')),
@@ -103,7 +103,7 @@
         # The upstream is lost after the first token. Without the last event
         # a reader would take what came for the whole answer.
         self.replies = [
-            Began('d1', ''),
+            AnswerStarted('d1', ''),
             Part(b'{}'),
             Done(Unknown('upstream lost', 502)),
         ]
--- a/packages/burdockchute/tests/decisions/test_listing.py
+++ b/packages/burdockchute/tests/decisions/test_listing.py
@@ -10,8 +10,8 @@
 from burdockchute.decisions import listing
 from burdockchute.model.positions import Position
 from burdockchute.model.upstreams import Endpoint
-from burdockchute.model.upstreams import Listed
-from burdockchute.model.upstreams import Unlisted
+from burdockchute.model.upstreams import UpstreamListed
+from burdockchute.model.upstreams import UpstreamUnlisted
 from burdockchute_testing.builders import upstreams
 
 
@@ -34,11 +34,11 @@
 
 class ListingTest(unittest.TestCase):
     def setUp(self):
-        first = Listed(at(5), upstream())
+        first = UpstreamListed(at(5), upstream())
         self.listed = listing.on_listed(listing.empty(), first)
 
     def test_expiry_without_an_outage_drops_at_once(self):
-        gone = Unlisted(at(6), 'i-1', 'removed')
+        gone = UpstreamUnlisted(at(6), 'i-1', 'removed')
         self.assertEqual(
             [], names(listing.on_unlisted(self.listed, gone, 50.0))
         )
@@ -51,17 +51,19 @@
         """
         returned = listing.on_store_return(self.listed, 100.0)
         expired = listing.on_unlisted(
-            returned, Unlisted(at(6), 'i-1', 'x'), 100.1
+            returned, UpstreamUnlisted(at(6), 'i-1', 'x'), 100.1
         )
         self.assertEqual(['i-1'], names(expired))
         self.assertEqual(['i-1'], names(listing.on_tick(expired, 102.0)))
-        relisted = listing.on_listed(expired, Listed(at(7), upstream()))
+        relisted = listing.on_listed(
+            expired, UpstreamListed(at(7), upstream())
+        )
         self.assertEqual(['i-1'], names(listing.on_tick(relisted, 103.0)))
 
     def test_upstream_that_is_not_listed_again_is_dropped(self):
         returned = listing.on_store_return(self.listed, 100.0)
         expired = listing.on_unlisted(
-            returned, Unlisted(at(6), 'i-1', 'x'), 100.1
+            returned, UpstreamUnlisted(at(6), 'i-1', 'x'), 100.1
         )
         self.assertEqual([], names(listing.on_tick(expired, 102.6)))
 
@@ -73,13 +75,13 @@
         """
         returned = listing.on_store_return(self.listed, 100.0)
         left = listing.on_unlisted(
-            returned, Unlisted(at(6), 'i-1', 'x'), 100.55
+            returned, UpstreamUnlisted(at(6), 'i-1', 'x'), 100.55
         )
         self.assertEqual([], names(left))
 
     def test_complete_list_drops_missing_upstreams(self):
         other = upstream('i-2')._replace(endpoint=Endpoint('10.0.0.2', 1))
-        both = listing.on_listed(self.listed, Listed(at(6), other))
+        both = listing.on_listed(self.listed, UpstreamListed(at(6), other))
         left = listing.on_complete_list(both, {'i-2'}, at(9), 50.0)
         self.assertEqual(['i-2'], names(left))
 
@@ -90,7 +92,7 @@
         engine left out until it writes once more.
         """
         left = listing.on_complete_list(self.listed, set(), at(9), 50.0)
-        returned = listing.on_listed(left, Listed(at(9), upstream()))
+        returned = listing.on_listed(left, UpstreamListed(at(9), upstream()))
         self.assertEqual(['i-1'], names(returned))
 
     def test_new_id_at_an_address_replaces_the_old_one(self):
@@ -100,19 +102,23 @@
         Half of all requests would be sent to an id that no longer exists, be
         rejected there and, after a second such attempt, be refused.
         """
-        again = Listed(at(6), upstream('i-2', started_ms=None, version=0))
+        again = UpstreamListed(
+            at(6), upstream('i-2', started_ms=None, version=0)
+        )
         now = listing.on_listed(self.listed, again)
         self.assertEqual(['i-2'], names(now))
-        late = Listed(at(4), upstream('i-3', started_ms=None))
+        late = UpstreamListed(at(4), upstream('i-3', started_ms=None))
         self.assertEqual(['i-2'], names(listing.on_listed(now, late)))
-        expired = listing.on_unlisted(now, Unlisted(at(9), 'i-1', 'x'), 50.0)
+        expired = listing.on_unlisted(
+            now, UpstreamUnlisted(at(9), 'i-1', 'x'), 50.0
+        )
         self.assertEqual(['i-2'], names(expired))
 
     def test_late_record_does_not_replace_a_newer_start_at_its_address(self):
         """The last record of an engine arrives after that of its successor."""
-        again = Listed(at(6), upstream('i-2', started_ms=2000))
+        again = UpstreamListed(at(6), upstream('i-2', started_ms=2000))
         now = listing.on_listed(self.listed, again)
-        last_record = Listed(at(7), upstream('i-1', started_ms=1000))
+        last_record = UpstreamListed(at(7), upstream('i-1', started_ms=1000))
         self.assertEqual(['i-2'], names(listing.on_listed(now, last_record)))
 
     def test_late_record_of_an_earlier_start_is_ignored(self):
@@ -122,13 +128,15 @@
         had, and requests would be sent there in vain.
         """
         restarted = upstream(started_ms=2000, version=0)
-        now = listing.on_listed(self.listed, Listed(at(6), restarted))
-        late = listing.on_listed(now, Listed(at(7), upstream(started_ms=1000)))
+        now = listing.on_listed(self.listed, UpstreamListed(at(6), restarted))
+        late = listing.on_listed(
+            now, UpstreamListed(at(7), upstream(started_ms=1000))
+        )
         self.assertEqual(restarted, late.known['i-1'].upstream)
 
     def test_restart_is_applied_at_any_position(self):
         restarted = upstream(started_ms=2000)
-        now = listing.on_listed(self.listed, Listed(at(3), restarted))
+        now = listing.on_listed(self.listed, UpstreamListed(at(3), restarted))
         self.assertEqual(restarted, now.known['i-1'].upstream)
 
     def restored(self, *entries, end=9):
@@ -138,10 +146,10 @@
     def test_restored_copy_lists_no_upstream_that_has_left(self):
         """The copy lists an engine that left in the seconds that it lacks."""
         self.listed = listing.on_unlisted(
-            self.listed, Unlisted(at(6), 'i-1', 'x'), 50.0
+            self.listed, UpstreamUnlisted(at(6), 'i-1', 'x'), 50.0
         )
         self.assertEqual(
-            [], names(self.restored(Listed(at(5, 2), upstream())))
+            [], names(self.restored(UpstreamListed(at(5, 2), upstream())))
         )
 
     def test_restored_copy_drops_no_upstream_before_it_could_write(self):
@@ -149,17 +157,19 @@
         kept = self.restored()
         self.assertEqual(['i-1'], names(listing.on_tick(kept, 102.0)))
         self.assertEqual([], names(listing.on_tick(kept, 102.6)))
-        again = listing.on_listed(kept, Listed(at(9, 2), upstream()))
+        again = listing.on_listed(kept, UpstreamListed(at(9, 2), upstream()))
         self.assertEqual(['i-1'], names(listing.on_tick(again, 102.6)))
 
     def test_restored_copy_reverts_nothing_that_is_known(self):
         """The copy has an engine before its drain, its load, its restart."""
         newest = upstream(version=3, draining=True, started_ms=2000)
-        self.listed = listing.on_listed(self.listed, Listed(at(6), newest))
+        self.listed = listing.on_listed(
+            self.listed, UpstreamListed(at(6), newest)
+        )
         same_start = upstream(version=2, started_ms=2000)
         earlier = upstream(version=4, started_ms=1000)
         for copied in (same_start, earlier):
-            after = self.restored(Listed(at(5, 2), copied))
+            after = self.restored(UpstreamListed(at(5, 2), copied))
             self.assertTrue(after.known['i-1'].upstream.draining)
             self.assertEqual(3, after.known['i-1'].upstream.versions['story'])
 
@@ -167,8 +177,8 @@
         """An entry was cut off when an engine drained and one was added."""
         other = upstream('i-2')._replace(endpoint=Endpoint('10.0.0.2', 1))
         after = self.restored(
-            Listed(at(7, 2), upstream(version=2, draining=True)),
-            Listed(at(8, 2), other),
+            UpstreamListed(at(7, 2), upstream(version=2, draining=True)),
+            UpstreamListed(at(8, 2), other),
         )
         self.assertEqual(['i-1', 'i-2'], names(after))
         self.assertTrue(after.known['i-1'].upstream.draining)
@@ -176,14 +186,16 @@
 
     def test_restored_copy_does_not_replace_a_later_start(self):
         """The engine that the copy lists was replaced in the lost seconds."""
-        again = Listed(at(6), upstream('i-2', started_ms=2000))
+        again = UpstreamListed(at(6), upstream('i-2', started_ms=2000))
         self.listed = listing.on_listed(self.listed, again)
-        after = self.restored(Listed(at(5, 2), upstream(started_ms=1000)))
+        after = self.restored(
+            UpstreamListed(at(5, 2), upstream(started_ms=1000))
+        )
         self.assertEqual(['i-2'], names(after))
 
     def test_upstream_that_leaves_after_a_restore_is_dropped_at_once(self):
-        after = self.restored(Listed(at(5, 2), upstream()))
-        left = Unlisted(at(6, 2), 'i-1', 'removed')
+        after = self.restored(UpstreamListed(at(5, 2), upstream()))
+        left = UpstreamUnlisted(at(6, 2), 'i-1', 'removed')
         self.assertEqual([], names(listing.on_unlisted(after, left, 101.0)))
 
     @given(st.permutations(range(6)))
@@ -193,17 +205,17 @@
         In any order, the newest has to be in force in the end.
         """
         entries = [
-            Listed(at(1), upstream(version=1)),
-            Listed(at(2), upstream(version=2)),
-            Unlisted(at(3), 'i-1', 'removed'),
-            Listed(at(4), upstream(version=4)),
-            Listed(at(5), upstream(version=5, draining=True)),
-            Listed(at(6), upstream(version=6, draining=True)),
+            UpstreamListed(at(1), upstream(version=1)),
+            UpstreamListed(at(2), upstream(version=2)),
+            UpstreamUnlisted(at(3), 'i-1', 'removed'),
+            UpstreamListed(at(4), upstream(version=4)),
+            UpstreamListed(at(5), upstream(version=5, draining=True)),
+            UpstreamListed(at(6), upstream(version=6, draining=True)),
         ]
         listed = listing.empty()
         for index in order:
             entry = entries[index]
-            if isinstance(entry, Listed):
+            if isinstance(entry, UpstreamListed):
                 listed = listing.on_listed(listed, entry)
             else:
                 listed = listing.on_unlisted(listed, entry, 50.0)
--- a/packages/burdockchute/tests/decisions/test_subset.py
+++ b/packages/burdockchute/tests/decisions/test_subset.py
@@ -7,7 +7,7 @@
 
 from burdockchute.decisions import subset
 from burdockchute.model.members import Member
-from burdockchute.model.table import EMPTY
+from burdockchute.model.table import EMPTY_TABLE
 from burdockchute.model.table import Table
 from burdockchute_testing.builders import fleets
 from burdockchute_testing.builders import tables
@@ -19,7 +19,7 @@
 )
 
 
-def links(members: list[Member], table: Table = EMPTY) -> dict[str, set]:
+def links(members: list[Member], table: Table = EMPTY_TABLE) -> dict[str, set]:
     """Return the agents that each entry links to."""
     found = {}
     for member in members:
@@ -133,7 +133,7 @@
         choice.set_members(self.members)
         while not choice.step(100):
             pass
-        before = choice.wanted(EMPTY)
+        before = choice.wanted(EMPTY_TABLE)
         choice.set_members([m for m in self.members if m.name != 'entry-1'])
-        self.assertEqual(before, choice.wanted(EMPTY))
+        self.assertEqual(before, choice.wanted(EMPTY_TABLE))
         self.assertFalse(choice.step(100))
--- a/packages/burdockchute/tests/decisions/test_suspects.py
+++ b/packages/burdockchute/tests/decisions/test_suspects.py
@@ -6,8 +6,8 @@
 
 from burdockchute.decisions import suspects
 from burdockchute.decisions.suspects import Suspects
-from burdockchute.model.crashes import CrashLearned
-from burdockchute.model.crashes import CrashSeen
+from burdockchute.model.crash_reports import CrashReport
+from burdockchute.model.crash_reports import PeerCrashReport
 
 
 class SuspectsTest(unittest.TestCase):
@@ -66,11 +66,13 @@
         refused to all of them for ten minutes.
         """
         for second in range(9):
-            seen = CrashSeen('p', 'a', True, False)
-            self.suspects.peer_reported(CrashLearned(seen, 0.0), 2.0 * second)
+            seen = CrashReport('p', 'a', True, False)
+            self.suspects.peer_reported(
+                PeerCrashReport(seen, 0.0), 2.0 * second
+            )
         self.assertEqual(0.0, self.suspects.refused_for_s('p', 20.0))
-        seen = CrashSeen('p', 'b', True, False)
-        self.suspects.peer_reported(CrashLearned(seen, 0.0), 20.0)
+        seen = CrashReport('p', 'b', True, False)
+        self.suspects.peer_reported(PeerCrashReport(seen, 0.0), 20.0)
         self.assertGreater(self.suspects.refused_for_s('p', 20.0), 0.0)
 
     def test_conviction_of_another_entry_is_applied(self):
--- a/packages/burdockchute/tests/test_following.py
+++ b/packages/burdockchute/tests/test_following.py
@@ -19,7 +19,7 @@
 from burdockchute.model.positions import Position
 from burdockchute.model.routes import CallerLimits
 from burdockchute.model.routes import Configuration
-from burdockchute.model.upstreams import Listed
+from burdockchute.model.upstreams import UpstreamListed
 from burdockchute_testing.builders import upstreams
 
 # How long a client of a silent store waits on top of what it asked for.
@@ -76,7 +76,9 @@
         if isinstance(result, Failure):
             return result
         if position is None:
-            listed = Listed(Position(0, 0), upstreams.upstream(id='i-1'))
+            listed = UpstreamListed(
+                Position(0, 0), upstreams.upstream(id='i-1')
+            )
             return Success(Batch(Position(0, 0), True, (listed,)))
         if position.offset == 0 and self.time >= self._silent[1]:
             return Success(Batch(Position(0, 1), True, ()))
@@ -88,7 +90,7 @@
         """Give a follower; `learnt` gets its beliefs and when it had them."""
         return following.Follower(
             Feeds(store.read, store.read),
-            lambda beliefs: learnt.append((store.time, beliefs)),
+            lambda known_state: learnt.append((store.time, known_state)),
             store.now,
             random.Random(1),
             lambda: following.Cadence(WAIT_S, 0.0),
@@ -102,8 +104,8 @@
         with mock.patch.object(following.gevent, 'sleep', store.sleep):
             with self.assertRaises(Stop):
                 follower.follow_wishes()
-        for at, beliefs in learnt:
-            if beliefs.history('story').newest == 2:
+        for at, known_state in learnt:
+            if known_state.history('story').newest == 2:
                 return at
         return None
 
@@ -162,10 +164,10 @@
             self.assertRaises(Stop),
         ):
             follower.follow_upstreams()
-        self.assertEqual(1, len(follower.beliefs.present()))
+        self.assertEqual(1, len(follower.known_state.present_upstreams()))
         store.time, settle = timers[-1]
         settle()
-        self.assertEqual([], follower.beliefs.present())
+        self.assertEqual([], follower.known_state.present_upstreams())
         back_at = min(at for at, _wait in store.asked if at >= 8.0)
         self.assertLess(store.time - back_at, listing.SETTLE_S + 0.1)
 
@@ -260,7 +262,7 @@
         store = ReturningStore()
         follower = following.Follower(
             Feeds(store.read, store.read),
-            lambda beliefs: None,
+            lambda known_state: None,
             store.now,
             random.Random(1),
             lambda: following.Cadence(WAIT_S, 0.0),
@@ -282,9 +284,9 @@
         """Give when a process that starts takes which configuration."""
         learnt = []
 
-        def changed(beliefs):
-            if beliefs.routes is not None:
-                version = beliefs.routes.configuration.version
+        def changed(known_state):
+            if known_state.routes is not None:
+                version = known_state.routes.configuration.version
                 learnt.append((round(store.time, 1), version))
 
         store.follower = following.Follower(
--- a/packages/burdockchute/tests/test_beliefs.py
+++ b/packages/burdockchute/tests/test_known_state.py
@@ -8,14 +8,14 @@
 from hypothesis import strategies as st
 
 from burdockchute.decisions import versions
-from burdockchute.model import beliefs as belief
-from burdockchute.model.beliefs import Beliefs
-from burdockchute.model.beliefs import Hearsay
+from burdockchute.model import known_state as state_updates
+from burdockchute.model.agent_requirements import AgentRequirements
 from burdockchute.model.feeds import Batch
 from burdockchute.model.feeds import ConfigurationRead
-from burdockchute.model.feeds import Unreadable
+from burdockchute.model.feeds import UnreadableRecord
 from burdockchute.model.feeds import VersionRead
-from burdockchute.model.needs import Needs
+from burdockchute.model.known_state import KnownState
+from burdockchute.model.known_state import PeerReport
 from burdockchute.model.positions import Position
 from burdockchute.model.routes import CallerLimits
 from burdockchute.model.routes import Configuration
@@ -30,29 +30,31 @@
 class FreshStartTest(unittest.TestCase):
     """The store is back from a copy, with a key that was revoked since."""
 
-    def read(self, beliefs, version, least):
+    def read(self, known_state, version, least):
         batch = Batch(Position(1, 3), True, (configuration(version),))
-        return belief.take_wishes(beliefs, batch, True, 5.0, least)
+        return state_updates.apply_desired_state(
+            known_state, batch, True, 5.0, least
+        )
 
     def test_an_older_configuration_than_neighbours_know_is_held_back(self):
-        after, learnt = self.read(Beliefs(), 6, 7)
+        after, learnt = self.read(KnownState(), 6, 7)
         self.assertIsNone(after.routes)
         self.assertEqual(
             ['configuration_held_back'], [x.event for x in learnt]
         )
         again, _learnt = self.read(after, 7, 7)
         self.assertEqual(7, again.routes.configuration.version)
-        self.assertEqual((again, []), belief.take_held_back(again))
+        self.assertEqual((again, []), state_updates.apply_held_back(again))
 
     def test_it_is_served_where_nobody_writes_the_newer_one_again(self):
-        after, _learnt = self.read(Beliefs(), 6, 7)
-        served, learnt = belief.take_held_back(after)
+        after, _learnt = self.read(KnownState(), 6, 7)
+        served, learnt = state_updates.apply_held_back(after)
         self.assertEqual(6, served.routes.configuration.version)
         self.assertEqual(['configuration_learnt'], [x.event for x in learnt])
 
     def test_a_running_process_is_bound_by_what_it_has_read(self):
         """A neighbour that reads faster makes no other one unready."""
-        running, _learnt = self.read(Beliefs(), 6, 0)
+        running, _learnt = self.read(KnownState(), 6, 0)
         after, _learnt = self.read(running, 6, 7)
         self.assertEqual(6, after.routes.configuration.version)
 
@@ -60,7 +62,7 @@
 CHANGES = st.one_of(
     st.integers(1, 9).map(configuration),
     st.integers(1, 9).map(lambda version: VersionRead('story', version)),
-    st.just(Unreadable('config', 'torn')),
+    st.just(UnreadableRecord('config', 'torn')),
 )
 
 
@@ -71,14 +73,14 @@
 
         An operator who took a key away would see it work again.
         """
-        beliefs = Beliefs()
+        known_state = KnownState()
         for number, changes in enumerate(batches):
-            version = _versions(beliefs)
+            version = _versions(known_state)
             batch = Batch(Position(0, number), number == 0, tuple(changes))
-            beliefs, _learnt = belief.take_wishes(
-                beliefs, batch, number == 0, float(number)
+            known_state, _learnt = state_updates.apply_desired_state(
+                known_state, batch, number == 0, float(number)
             )
-            after = _versions(beliefs)
+            after = _versions(known_state)
             self.assertGreaterEqual(after, version)
             newest = [
                 c.configuration.version
@@ -94,16 +96,20 @@
         An agent that went back to an origin that has moved would fetch
         nothing more.
         """
-        beliefs = Beliefs()
+        known_state = KnownState()
         if read:
             batch = Batch(Position(0, 0), True, (configuration(read),))
-            beliefs, _learnt = belief.take_wishes(beliefs, batch, True, 0.0)
+            known_state, _learnt = state_updates.apply_desired_state(
+                known_state, batch, True, 0.0
+            )
         newest = read
         for version in told:
-            needs = Needs(version, ('story',), 4, '10.0.0.1:80')
-            beliefs, _learnt = belief.take_told_needs(beliefs, needs)
+            needs = AgentRequirements(version, ('story',), 4, '10.0.0.1:80')
+            known_state, _learnt = state_updates.apply_reported_requirements(
+                known_state, needs
+            )
             newest = max(newest, version)
-            known = beliefs.needs('drafts')
+            known = known_state.agent_requirements('drafts')
             self.assertEqual(newest, known.configuration)
 
     def test_a_fresh_process_ends_no_version_for_the_others(self):
@@ -117,9 +123,13 @@
         batch = Batch(
             Position(0, 0), True, (configuration(1), VersionRead('story', 1))
         )
-        running, _learnt = belief.take_wishes(Beliefs(), batch, True, 0.0)
-        told = [Hearsay('story', 2, None)]
-        running, _learnt = belief.take_hearsay(running, told, 60.0)
+        running, _learnt = state_updates.apply_desired_state(
+            KnownState(), batch, True, 0.0
+        )
+        told = [PeerReport('story', 2, None)]
+        running, _learnt = state_updates.apply_peer_reports(
+            running, told, 60.0
+        )
         history = running.history('story')
         self.assertEqual(1, versions.least_allowed(history, 8.0, 62.0))
         self.assertEqual(2, versions.least_allowed(history, 8.0, 69.0))
@@ -130,8 +140,10 @@
         Whoever has read nothing yet knows no more than who tells of it; the
         version before must begin nothing.
         """
-        told = [Hearsay('story', 2, None)]
-        fresh, _learnt = belief.take_hearsay(Beliefs(), told, 60.0)
+        told = [PeerReport('story', 2, None)]
+        fresh, _learnt = state_updates.apply_peer_reports(
+            KnownState(), told, 60.0
+        )
         history = fresh.history('story')
         self.assertEqual(2, versions.least_allowed(history, 8.0, 60.0))
 
@@ -139,16 +151,18 @@
         batch = Batch(
             Position(0, 3), True, (configuration(4), VersionRead('story', 2))
         )
-        _beliefs, learnt = belief.take_wishes(Beliefs(), batch, True, 0.0)
+        _beliefs, learnt = state_updates.apply_desired_state(
+            KnownState(), batch, True, 0.0
+        )
         self.assertEqual(
             ['configuration_learnt', 'version_named'],
             [item.event for item in learnt],
         )
 
 
-def _versions(beliefs):
-    routes = beliefs.routes
+def _versions(known_state):
+    routes = known_state.routes
     return (
         routes.configuration.version if routes else 0,
-        beliefs.history('story').newest,
+        known_state.history('story').newest,
     )
--- a/packages/burdockchute/tests/test_reducer.py
+++ b/packages/burdockchute/tests/test_reducer.py
@@ -10,7 +10,7 @@
 from burdockchute.model import records
 from burdockchute.model import reducer
 from burdockchute.model import rows
-from burdockchute.model.table import EMPTY
+from burdockchute.model.table import EMPTY_TABLE
 from burdockchute.model.table import Revisioned
 from burdockchute_testing.builders import tables
 
@@ -18,7 +18,7 @@
 
 
 def reduce(*texts: str) -> tuple:
-    return reducer.apply_all(EMPTY, enumerate(texts))[:2]
+    return reducer.apply_all(EMPTY_TABLE, enumerate(texts))[:2]
 
 
 class ReducerTest(unittest.TestCase):
@@ -145,7 +145,7 @@
             'ana',
             '2026-01-01T00:00:00Z',
         )
-        text = records.write(record)
+        text = records.serialize(record)
         self.assertEqual(record, records.parse(text, 'p').unwrap())
 
     def test_snapshot_is_read_back_the_same(self):
--- a/packages/burdockchute/tests/test_snapshots.py
+++ b/packages/burdockchute/tests/test_snapshots.py
@@ -7,7 +7,7 @@
 
 from burdockchute.decisions import snapshots
 from burdockchute.model import reducer
-from burdockchute.model.table import EMPTY
+from burdockchute.model.table import EMPTY_TABLE
 from burdockchute.platform import log
 from burdockchute.platform import table_log
 from burdockchute_testing.builders import tables
@@ -93,7 +93,7 @@
 class LoadTest(unittest.TestCase):
     def setUp(self) -> None:
         self.log = FakeLog()
-        self.table = EMPTY
+        self.table = EMPTY_TABLE
 
     def edit(self, count: int) -> None:
         for _number in range(count):
--- a/packages/burdockchute/tests/test_table_commands.py
+++ b/packages/burdockchute/tests/test_table_commands.py
@@ -13,7 +13,7 @@
 from returns.result import Success
 
 from burdockchute.model import reducer
-from burdockchute.model.table import EMPTY
+from burdockchute.model.table import EMPTY_TABLE
 from burdockchute.model.table import Table
 from burdockchute.operators import table_commands
 from burdockchute.operators import table_writer
@@ -59,7 +59,7 @@
 
     def table(self) -> Table:
         texts = enumerate(self.log.all_of('table'))
-        return reducer.apply_all(EMPTY, texts).table
+        return reducer.apply_all(EMPTY_TABLE, texts).table
 
     def add_story(self) -> None:
         status, _out, _err = self.run_table(
--- a/packages/burdockchute/tests/test_table_machine.py
+++ b/packages/burdockchute/tests/test_table_machine.py
@@ -15,7 +15,7 @@
 from burdockchute.model import records
 from burdockchute.model import reducer
 from burdockchute.model import rows
-from burdockchute.model.table import EMPTY
+from burdockchute.model.table import EMPTY_TABLE
 from burdockchute.model.table import Revisioned
 from burdockchute.model.table import Table
 from burdockchute.platform import table_log
@@ -73,10 +73,10 @@
         self.patch.start()
         self.log = FakeLog()
         self.reference = Reference()
-        self.follower = EMPTY
-        self.agent = EMPTY
-        self.changes = deltas.Changes(kept=6)
-        self.held: list[Table] = [EMPTY]
+        self.follower = EMPTY_TABLE
+        self.agent = EMPTY_TABLE
+        self.changes = deltas.RecentChanges(max_kept=6)
+        self.held: list[Table] = [EMPTY_TABLE]
         self.sent: list[str] = []
 
     def teardown(self) -> None:
@@ -137,7 +137,7 @@
             return
         old = self.follower
         reduced = reducer.apply_all(old, read.unwrap().records)
-        self.changes.add(old.offset, reduced.touched)
+        self.changes.add(old.offset, reduced.changed_rows)
         self.follower = reduced.table
         self.held.append(self.follower)
 
@@ -153,7 +153,7 @@
         if loaded.table.offset > self.follower.offset:
             self.follower = loaded.table
             self.held.append(self.follower)
-            self.changes.forget()
+            self.changes.reset()
 
     @stateful.rule(share=st.floats(0, 1))
     def retention(self, share: float):
@@ -178,7 +178,7 @@
         """Let a process that was paused send what it held."""
         old = self.held[max(0, len(self.held) - 1 - back)]
         before = self.agent
-        applied = deltas.apply_delta(before, deltas.whole(old)).unwrap()
+        applied = deltas.apply_delta(before, deltas.full_table(old)).unwrap()
         assert applied.table.offset >= before.offset
         if old.offset <= before.offset:
             assert applied.table == before
@@ -188,7 +188,7 @@
     def log_and_reference_agree(self):
         """Compare the reduction of the whole stream with the reference."""
         texts = enumerate(self.log.all_of('table'))
-        self.check(reducer.apply_all(EMPTY, texts).table)
+        self.check(reducer.apply_all(EMPTY_TABLE, texts).table)
 
     def check(self, table: Table) -> None:
         found = {
@@ -251,7 +251,7 @@
                 read = records.parse(tables.snapshot(made), '').unwrap()
                 self.assertEqual(made, read.table)
                 tables.snapshot(made).encode()
-                codec.encode(deltas.whole(made, with_seen=True))
+                codec.encode(deltas.full_table(made, with_seen=True))
 
     @SETTINGS
     @hypothesis.given(st.binary(max_size=200))
@@ -267,7 +267,9 @@
         self, data: st.DataObject
     ):
         table = tables.table_of(tables.model(), tables.service())
-        frame = bytearray(codec.encode(deltas.whole(table, with_seen=True)))
+        frame = bytearray(
+            codec.encode(deltas.full_table(table, with_seen=True))
+        )
         for _number in range(data.draw(st.integers(1, 3))):
             at = data.draw(st.integers(0, len(frame) - 1))
             frame[at] = data.draw(st.integers(0, 255))
