--- a/packages/burdockchute-entry/burdockchute_entry/straight/callers.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/callers.py
@@ -316,7 +316,7 @@
             reply = self._exchange.answer()
         except CallerGone:
             self._finish(0, 'caller_gone')
-            raise StreamBroken('the caller disconnected') from None
+            raise StreamBroken('the caller has gone') from None
         except BaseException:
             self._finish(0, 'failed')
             raise
@@ -347,7 +347,7 @@
             outcome = 'answered'
         except CallerGone:
             outcome = 'caller_gone'
-            raise StreamBroken('the caller disconnected') from None
+            raise StreamBroken('the caller has gone') from None
         except OSError as exc:
             outcome = f'stream_broken: {exc.strerror}'
             raise
