--- a/packages/burdockchute-entry/burdockchute_entry/straight/agents_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/agents_task.py
@@ -68,11 +68,11 @@
     return found
 
 
-class _LastSent(NamedTuple):
+class _SentState(NamedTuple):
     """The desired state that was last sent to an agent."""
 
     histories: Mapping[str, History]
-    needs: AgentRequirements | None
+    agent_requirements: AgentRequirements | None
     in_contact: bool
 
 
@@ -110,7 +110,7 @@
         self._rng = rng
         self._known_state = KnownState()
         self._services: dict[str, str] = {}
-        self._last_sent: dict[str, _LastSent] = {}
+        self._last_sent: dict[str, _SentState] = {}
         self._was_in_contact = in_contact()
         self._sent_configurations: dict[str, int] = {}
         self._saves_sent_at = 0.0
@@ -165,16 +165,16 @@
                 self._on_link_event(LinkStateReport(news.agent, news.is_slow))
             case links.Received(message=messages.CrashNews()):
                 self._on_crash(
-                    PeerCrashReport(_crash_seen(message.message), age_s=0.0)
+                    PeerCrashReport(_crash_report(message.message), age_s=0.0)
                 )
             case links.Received(link=link, message=messages.LoadReport()):
                 if self._peers.of(link) is not None:
                     self._on_load_report(link.peer.name, message.message)
 
-    def _probe(self, wanted: ProbeRequested) -> None:
-        peer = self._peers.links.get(wanted.agent)
+    def _probe(self, request: ProbeRequested) -> None:
+        peer = self._peers.links.get(request.agent)
         if peer is not None:
-            peer.send(messages.LinkProbe(round(wanted.sent_at * 1e6)))
+            peer.send(messages.LinkProbe(round(request.sent_at * 1e6)))
 
     def _relay(
         self, news: messages.CrashNews | messages.LinkNews, about: str = ''
@@ -192,24 +192,28 @@
         # requirements. If it were sent none, it would treat its models as
         # withdrawn.
         service = self._services.get(peer.name)
-        needs = (
+        agent_requirements = (
             self._known_state.agent_requirements(service) if service else None
         )
         # Most saved configurations change nothing for agents and aren't sent.
-        last_sent = _LastSent(
+        state = _SentState(
             self._known_state.histories,
-            needs._replace(configuration=0) if needs else None,
+            agent_requirements._replace(configuration=0)
+            if agent_requirements
+            else None,
             self._in_contact(),
         )
-        if not for_save and last_sent == self._last_sent.get(peer.name):
+        if not for_save and state == self._last_sent.get(peer.name):
             return
         self._sent_configurations[peer.name] = (
-            needs.configuration if needs else 0
+            agent_requirements.configuration if agent_requirements else 0
         )
-        self._last_sent[peer.name] = last_sent
-        named = news_of(last_sent.histories, time.monotonic())
+        self._last_sent[peer.name] = state
+        named = news_of(state.histories, time.monotonic())
         peer.send(
-            messages.WishesNews(named, needs_news(needs), last_sent.in_contact)
+            messages.WishesNews(
+                named, needs_news(agent_requirements), state.in_contact
+            )
         )
 
     def _send_to_all(self) -> None:
@@ -237,7 +241,7 @@
         self._peers.tick(time.monotonic())
 
 
-def _crash_seen(news: messages.CrashNews) -> CrashReport:
+def _crash_report(news: messages.CrashNews) -> CrashReport:
     return CrashReport(
         news.fingerprint, news.upstream, news.alone, news.convicted
     )
--- a/packages/burdockchute-entry/burdockchute_entry/straight/app.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/app.py
@@ -104,7 +104,7 @@
             self.lifetime.hello,
             machine.link_ports[0],
             self._on_load_report,
-            self._on_crash_learned,
+            self._on_peer_crash_report,
             lambda: not self.follower.wishes_contact.lost,
             rng,
             self.scheduler.handle_link_event,
@@ -230,10 +230,10 @@
             self.follower.hear_configuration(report.configuration)
         self.scheduler.apply_load_report(address, report)
 
-    def _on_crash_learned(self, learned: PeerCrashReport) -> None:
-        seen = learned.crash
-        logs.event('crash_learned', **seen._asdict())
-        self._suspects.peer_reported(learned, time.monotonic())
+    def _on_peer_crash_report(self, report: PeerCrashReport) -> None:
+        crash = report.crash
+        logs.event('crash_learned', **crash._asdict())
+        self._suspects.peer_reported(report, time.monotonic())
 
     def _keep_assigning(self) -> None:
         while True:
--- a/packages/burdockchute-entry/burdockchute_entry/straight/sending.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/sending.py
@@ -67,7 +67,7 @@
     scheduler: Scheduler
     suspects: Suspects
     now: Callable[[], float]
-    report_crash: Callable[[CrashReport], None] = lambda seen: None
+    report_crash: Callable[[CrashReport], None] = lambda crash: None
 
 
 class Sender:
--- a/packages/burdockchute-entry/tests/test_agents_task.py
+++ b/packages/burdockchute-entry/tests/test_agents_task.py
@@ -171,13 +171,13 @@
         engines per entry, and other callers would lose their answers.
         """
         opened = [self.opened(f'10.0.0.{n}:1') for n in range(1, 9)]
-        seen = CrashReport('f-1', 'i-1', True, False)
-        self.task._handle(seen)
+        crash = CrashReport('f-1', 'i-1', True, False)
+        self.task._handle(crash)
         receivers = [link for link in opened if len(link.sent) > 1]
         self.assertEqual(3, len(receivers))
         news = receivers[0].sent[-1]
         self.task._handle(links.Received(opened[0], news))
-        self.assertEqual([PeerCrashReport(seen, 0.0)], self.crashes)
+        self.assertEqual([PeerCrashReport(crash, 0.0)], self.crashes)
 
     def test_an_entry_without_contact_reports_it(self):
         """The store refuses one entry and serves the agents.
