--- a/packages/burdockchute-entry/burdockchute_entry/admission_control.py
+++ b/packages/burdockchute-entry/burdockchute_entry/admission_control.py
@@ -31,16 +31,16 @@
         self.shares: Mapping[str, Share] = {}
         self.entries = 1
         self._buckets: dict[str, Bucket] = {}
-        self._asked: dict[str, Demand] = {}
+        self._demands: dict[str, Demand] = {}
 
     def take_demands(self, seconds: float) -> dict[str, Demand]:
         """Give what each customer asked for in the last so many seconds."""
-        asked, self._asked = self._asked, {}
+        demands, self._demands = self._demands, {}
         return {
             customer: Demand(
                 demand.requests_per_s / seconds, demand.tokens_per_s / seconds
             )
-            for customer, demand in asked.items()
+            for customer, demand in demands.items()
         }
 
     def refusal(
@@ -52,27 +52,29 @@
         now: float,
     ) -> NotRun | None:
         """Tell why a request is not let in; counts it if it is."""
-        self._count(request.ctx)
+        self._record_demand(request.ctx)
         wait_s = pool.expected_wait_s(request, loads, now)
         service_s = pool.unit_s * request.work.cost
         if admission.is_too_late(request.ctx, wait_s, service_s, now):
             retry_s = admission.retry_after_s(wait_s)
             return NotRun('can not be done in time', 503, retry_s)
-        over_s = self._take(request.ctx, table, now)
-        if over_s:
+        over_limit_s = self._take_from_bucket(request.ctx, table, now)
+        if over_limit_s:
             text = f'customer {request.ctx.customer!r} is over its limit'
-            return NotRun(text, 429, admission.retry_after_s(over_s))
+            return NotRun(text, 429, admission.retry_after_s(over_limit_s))
         return None
 
-    def _count(self, ctx: RequestContext) -> None:
+    def _record_demand(self, ctx: RequestContext) -> None:
         # What is refused counts as well: a share follows what is asked for.
-        asked = self._asked.get(ctx.customer, Demand(0.0, 0.0))
-        self._asked[ctx.customer] = Demand(
-            asked.requests_per_s + 1,
-            asked.tokens_per_s + admission.tokens_of(ctx),
+        demand = self._demands.get(ctx.customer, Demand(0.0, 0.0))
+        self._demands[ctx.customer] = Demand(
+            demand.requests_per_s + 1,
+            demand.tokens_per_s + admission.tokens_of(ctx),
         )
 
-    def _take(self, ctx: RequestContext, table: Table, now: float) -> float:
+    def _take_from_bucket(
+        self, ctx: RequestContext, table: Table, now: float
+    ) -> float:
         limit = rate_of(ctx.customer, table)
         if limit is None:
             return 0.0
--- a/packages/burdockchute-entry/burdockchute_entry/app.py
+++ b/packages/burdockchute-entry/burdockchute_entry/app.py
@@ -31,7 +31,7 @@
 from burdockchute_entry.claims_task import ClaimsTask
 from burdockchute_entry.crashes_task import CrashesTask
 from burdockchute_entry.limits_task import LimitsTask
-from burdockchute_entry.links_task import Handing
+from burdockchute_entry.links_task import LinkHandlers
 from burdockchute_entry.links_task import LinksTask
 from burdockchute_entry.links_task import TableSource
 from burdockchute_entry.request_metrics import RequestMetrics
@@ -41,10 +41,10 @@
 
 # The balancer in front learns from /readyz that this entry leaves. Until it
 # has looked again, new requests still arrive and are refused as not run.
-LEAVING_S = 1.0
+LEAVING_NOTICE_S = 1.0
 
 # Longest wait for the last releases and outcomes to be in the log.
-SETTLE_S = 3.0
+CLAIMS_SETTLE_S = 3.0
 
 # Each of the 16 streams of claims is read by a request that stays open, and
 # appended to beside that.
@@ -65,7 +65,7 @@
             cfg.log_retention_s,
             ask_peers=lambda offset: self.links_task.ask_peers(offset),
         )
-        self.observer = RequestMetrics(self.table)
+        self.request_metrics = RequestMetrics(self.table)
         self.claims_task = ClaimsTask(
             cfg.name,
             LogClient(cfg.log_url, concurrency=CLAIM_CONNECTIONS),
@@ -89,7 +89,7 @@
             random.Random(),
             claim=self.claims_task.inbox.put,
             crash=self.crashes_task.inbox.put,
-            observe=self.observer.finished,
+            observe=self.request_metrics.record_finished,
             demand=self.limits_task.inbox.put,
             name=cfg.name,
         )
@@ -102,7 +102,9 @@
                 self._delta_for_agent,
                 self.table_task.answer,
             ),
-            Handing(self._hand_on, self._peer_handlers(), self.router.in_use),
+            LinkHandlers(
+                self._on_link_event, self._peer_handlers(), self.router.in_use
+            ),
             random.Random(),
         )
 
@@ -127,9 +129,9 @@
             self.links_task.inbox,
             self.table_offset,
         )
-        answers = server.CountedApp(self._callers_app())
+        callers_app = server.CountedApp(self._callers_app())
         callers = server.make_server(
-            self.cfg.address, self.cfg.http_port, answers
+            self.cfg.address, self.cfg.http_port, callers_app
         )
         callers.start()
         admin = http_admin.serve(
@@ -143,7 +145,7 @@
         )
         if not self.lifetime.run_until_stopped(self._loops()):
             return tasks.EXIT_TASK_FAILED
-        return self._leave(callers, answers)
+        return self._shut_down(callers, callers_app)
 
     def status(self) -> dict[str, Any]:
         """Give what this process holds and does."""
@@ -165,7 +167,7 @@
             self.links_task.run,
             self.claims_task.run,
             self.crashes_task.run,
-            self.crashes_task.read_for_ever,
+            self.crashes_task.read_forever,
             self.limits_task.run,
             self.router.run,
         ]
@@ -178,7 +180,7 @@
         ):
             inbox.put(TableChanged(table))
 
-    def _hand_on(self, event: Any) -> None:
+    def _on_link_event(self, event: Any) -> None:
         self.router.inbox.put(event)
         if isinstance(event, MembersChanged):
             self.claims_task.inbox.put(event)
@@ -186,8 +188,8 @@
 
     def _peer_handlers(self) -> dict[type, Callable[[links.Received], None]]:
         return {
-            messages.TableDelta: lambda event: self.table_task.take(
-                event.message
+            messages.TableDelta: lambda event: (
+                self.table_task.apply_peer_table(event.message)
             ),
             messages.ClaimRequest: self.claims_task.inbox.put,
             messages.ClaimReply: self.claims_task.inbox.put,
@@ -216,7 +218,11 @@
         return http_admin.make_app(
             self.status,
             self._probe,
-            {'/burn': lambda _rest: http_admin.as_json(self.observer.page())},
+            {
+                '/burn': lambda _rest: http_admin.as_json(
+                    self.request_metrics.burn_counts()
+                )
+            },
         )
 
     def _probe(self) -> http_admin.Probe:
@@ -226,26 +232,26 @@
             return http_admin.Probe(False, 'leaving')
         return http_admin.Probe(True, '')
 
-    def _leave(self, callers: Any, answers: server.CountedApp) -> int:
+    def _shut_down(self, callers: Any, callers_app: server.CountedApp) -> int:
         # Requests that were accepted are finished; new connections are still
         # taken for a moment and told that nothing was run.
         logs.event('leaving', in_flight=self.router.open_requests())
         self.leaving = True
-        until = time.monotonic() + self.cfg.drain_s
-        gevent.sleep(LEAVING_S)
+        drain_until = time.monotonic() + self.cfg.drain_s
+        gevent.sleep(LEAVING_NOTICE_S)
         callers.close()
-        while self.router.open_requests() and time.monotonic() < until:
+        while self.router.open_requests() and time.monotonic() < drain_until:
             gevent.sleep(0.02)
-        left = self.router.open_requests()
+        unfinished = self.router.open_requests()
         # Without its outcome in the log a resend would hear only that it is
         # not known; the log may be away, so the wait is short.
-        settle_until = time.monotonic() + SETTLE_S
+        settle_until = time.monotonic() + CLAIMS_SETTLE_S
         while not self.claims_task.settled():
             if time.monotonic() > settle_until:
                 break
             gevent.sleep(0.02)
-        while answers.open and time.monotonic() < until:
+        while callers_app.open and time.monotonic() < drain_until:
             gevent.sleep(0.02)
-        callers.stop(timeout=LEAVING_S)
-        logs.event('stopped', left=left)
-        return 1 if left else 0
+        callers.stop(timeout=LEAVING_NOTICE_S)
+        logs.event('stopped', left=unfinished)
+        return 1 if unfinished else 0
--- a/packages/burdockchute-entry/burdockchute_entry/attempts.py
+++ b/packages/burdockchute-entry/burdockchute_entry/attempts.py
@@ -13,18 +13,18 @@
 from burdockchute.nodes import links
 from burdockchute.wire import messages
 from burdockchute_entry.fleet import Instance
-from burdockchute_entry.fleet import Pinned
+from burdockchute_entry.fleet import PinnedWeights
 
 # Parts that came before their turn, as after a resumed stream. More than
 # this is no disorder but a fault of the sender.
 MAX_EARLY_PARTS = 1024
 
 
-class Whole(NamedTuple):
+class Complete(NamedTuple):
     """Every part of the answer has come, from the pinned weights."""
 
 
-class Broken(NamedTuple):
+class Incomplete(NamedTuple):
     """The request was handed on and its answer is not whole."""
 
     reason: str
@@ -38,7 +38,7 @@
         self,
         attempt_id: str,
         instance: Instance,
-        pinned: Pinned,
+        pinned: PinnedWeights,
         first_sequence: int,
         now: float,
     ) -> None:
@@ -62,18 +62,18 @@
             self.next_sequence += 1
         return ready
 
-    def judge(self, end: messages.AnswerEnd) -> Whole | Broken:
+    def check_end(self, end: messages.AnswerEnd) -> Complete | Incomplete:
         """Tell whether what came is the whole answer."""
         if end.error:
-            return Broken(end.error, bool(end.crashed))
+            return Incomplete(end.error, bool(end.crashed))
         if end.parts != self.next_sequence:
             reason = f'{self.next_sequence!r} parts of {end.parts!r} came'
-            return Broken(reason, False)
+            return Incomplete(reason, False)
         # The agent compares as well; a mix of two versions must not depend
         # on one check.
         if (end.digest, end.adapter_digest) != self.pinned:
-            return Broken(f'answer is from weights {end.digest!r}', False)
-        return Whole()
+            return Incomplete(f'answer is from weights {end.digest!r}', False)
+        return Complete()
 
 
 class Request:
@@ -92,24 +92,24 @@
         )
         self.caller_gone = False
         self.is_suspect = False
-        self.waiting: QueuedRequest | None = None
+        self.queue_item: QueuedRequest | None = None
         self.waiting_since = ctx.arrived
         self.attempt: Attempt | None = None
         self.attempts = 0
         self.placements = 0
         self._avoided: dict[Instance, int] = {}
         self.parts: list[bytes] = []
-        self.passed_on = 0
-        self.pinned = Pinned('', '')
+        self.parts_sent = 0
+        self.pinned = PinnedWeights('', '')
         self.first_part_at: float | None = None
 
     def avoid(self, instance: Instance) -> None:
         """Stay away from an instance until it has reported again."""
-        self._avoided[instance] = instance.reports
+        self._avoided[instance] = instance.report_count
 
     def avoids(self, instance: Instance) -> bool:
         """Tell whether an instance refused this since its last report."""
-        return self._avoided.get(instance) == instance.reports
+        return self._avoided.get(instance) == instance.report_count
 
     def may_run_again(self) -> bool:
         """Tell whether another attempt can give one whole answer.
@@ -118,4 +118,4 @@
         a stream that was begun the caller holds parts, which another run
         would not continue.
         """
-        return self.ctx.idempotent and not self.passed_on
+        return self.ctx.idempotent and not self.parts_sent
--- a/packages/burdockchute-entry/burdockchute_entry/claim_collector.py
+++ b/packages/burdockchute-entry/burdockchute_entry/claim_collector.py
@@ -25,7 +25,7 @@
 
 # Shortest time between two appends to one stream; all streams together then
 # stay near 300 appends a second however many claims come.
-BATCH_S = 0.05
+BATCH_INTERVAL_S = 0.05
 MAX_BATCH = 256
 
 READ_WAIT_S = 1.0
@@ -35,11 +35,11 @@
 
 # An append that has taken this long is stuck; claims that come now are
 # refused at once instead of waiting behind it.
-STUCK_S = 1.0
+STUCK_APPEND_S = 1.0
 
 # How long the reading may take to show an append whose reply was lost.
-UNSURE_S = 1.0
-FORGET_EVERY_S = 30.0
+LOST_REPLY_WAIT_S = 1.0
+FORGET_INTERVAL_S = 30.0
 
 Answer = Callable[[Verdict], None]
 
@@ -71,14 +71,14 @@
         self._inbox: queue.Queue = queue.Queue()
         self._pending: dict[tuple[str, str], list[_Pending]] = {}
         self._appending_since: float | None = None
-        self._forgot_at = clocks.now()
+        self._last_forget_at = clocks.now()
         self._tasks: list[gevent.Greenlet] = []
 
     def start(self) -> None:
         """Start appending and reading."""
         self._tasks = [
-            gevent.spawn(self._append_for_ever),
-            gevent.spawn(self._read_for_ever),
+            gevent.spawn(self._append_forever),
+            gevent.spawn(self._read_forever),
         ]
 
     def stop(self) -> None:
@@ -98,15 +98,15 @@
 
     def _is_stuck(self, now: float) -> bool:
         since = self._appending_since
-        return since is not None and now - since > STUCK_S
+        return since is not None and now - since > STUCK_APPEND_S
 
-    def _append_for_ever(self) -> None:
+    def _append_forever(self) -> None:
         while True:
             acts = [self._inbox.get()]
             while len(acts) < MAX_BATCH and not self._inbox.empty():
                 acts.append(self._inbox.get())
             self._append(acts)
-            gevent.sleep(BATCH_S)
+            gevent.sleep(BATCH_INTERVAL_S)
 
     def _append(self, acts: list[Act]) -> None:
         self._appending_since = self._clocks.now()
@@ -118,7 +118,9 @@
         error = appended.failure()
         logs.warn('claims_not_appended', stream=self.stream, error=error)
         if isinstance(error, platform_log.Unsure):
-            gevent.spawn_later(UNSURE_S, self._refuse, acts, 'no reply')
+            gevent.spawn_later(
+                LOST_REPLY_WAIT_S, self._refuse, acts, 'no reply'
+            )
             return
         self._refuse(acts, 'the log takes no claims')
 
@@ -130,7 +132,7 @@
         for pending in self._pending.pop(_id_of(act), ()):
             pending.answer(verdict)
 
-    def _read_for_ever(self) -> None:
+    def _read_forever(self) -> None:
         while True:
             if self.offset < 0 and not self._find_start():
                 gevent.sleep(RETRY_S)
@@ -174,12 +176,12 @@
 
     def _forget(self) -> None:
         now = self._clocks.now()
-        if now - self._forgot_at < FORGET_EVERY_S:
+        if now - self._last_forget_at < FORGET_INTERVAL_S:
             return
-        self._forgot_at = now
+        self._last_forget_at = now
         self.table.forget(self._clocks.now_unix())
-        for key, waiting in list(self._pending.items()):
-            if all(pending.due < now for pending in waiting):
+        for key, pending_acts in list(self._pending.items()):
+            if all(pending.due < now for pending in pending_acts):
                 del self._pending[key]
 
 
--- a/packages/burdockchute-entry/burdockchute_entry/claims_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/claims_task.py
@@ -49,7 +49,7 @@
 # claim passed to it would time out. An entry that let one claim time out is
 # passed over for longer than the list lags; if it was only slow, two entries
 # gather a stream for a while, which costs appends and nothing else.
-PASSED_OVER_S = 30.0
+EXCLUDED_S = 30.0
 
 # How often a release or an outcome is sent again until it is in the log.
 # Each is sent until its key is out of its window: without a release the
@@ -68,10 +68,10 @@
 SendTo = Callable[[str, Any], None]
 
 
-class _Asked(NamedTuple):
+class _PendingClaim(NamedTuple):
     wanted: ClaimRequested
     due: float
-    gathers: str
+    collecting_entry: str
 
 
 class _Unsettled(NamedTuple):
@@ -80,7 +80,7 @@
     until: float
 
 
-class _Verdict(NamedTuple):
+class _LocalVerdict(NamedTuple):
     """A verdict of a gatherer in this process, for whoever asked."""
 
     peer: str
@@ -106,16 +106,16 @@
         self._send_to = send_to
         self._clocks = clocks
         self._entries: list[str] = [name]
-        self._passed_over: dict[str, float] = {}
-        self._asked: dict[str, _Asked] = {}
+        self._excluded_until: dict[str, float] = {}
+        self._pending: dict[str, _PendingClaim] = {}
         self._unsettled: dict[tuple[str, str], _Unsettled] = {}
         self._handlers: dict[type, Callable[[Any], None]] = {
-            ClaimRequested: self._wanted,
-            ClaimReleased: self._released,
-            ClaimFinished: self._finished,
+            ClaimRequested: self._claim_wanted,
+            ClaimReleased: self._claim_released,
+            ClaimFinished: self._claim_finished,
             MembersChanged: self._members_changed,
             links.Received: self._received,
-            _Verdict: self._decided_here,
+            _LocalVerdict: self._on_local_verdict,
         }
 
     def run(self) -> None:
@@ -140,11 +140,13 @@
     def tick(self) -> None:
         """Give up what takes too long and send again what has no reply."""
         now = self._clocks.now()
-        for attempt_id, asked in list(self._asked.items()):
-            if asked.due <= now:
-                self._pass_over(asked.gathers, now)
+        for attempt_id, pending in list(self._pending.items()):
+            if pending.due <= now:
+                self._exclude(pending.collecting_entry, now)
                 reason = 'the claim was not read back in time'
-                self._give_up(attempt_id, Unavailable(reason, RETRY_AFTER_S))
+                self._abandon_claim(
+                    attempt_id, Unavailable(reason, RETRY_AFTER_S)
+                )
         for act_id, unsettled in list(self._unsettled.items()):
             if unsettled.until <= now:
                 del self._unsettled[act_id]
@@ -152,79 +154,85 @@
                 self._unsettled[act_id] = unsettled._replace(
                     due=now + RESEND_S
                 )
-                self._pass(unsettled.act)
-        self._stop_idle(now)
+                self._forward(unsettled.act)
+        self._stop_idle_collectors(now)
 
     # For the router of this entry.
 
-    def _wanted(self, event: ClaimRequested) -> None:
+    def _claim_wanted(self, event: ClaimRequested) -> None:
         ctx = event.ctx
         issued_at = parse.issued_at(ctx.idempotency_key) or 0.0
         outside = claims.outside_window(
             ctx.idempotency_key, issued_at, self._clocks.now_unix()
         )
         if outside is not None:
-            self._tell(event, outside)
+            self._reply(event, outside)
             return
         due = self._clocks.now() + CLAIM_TIMEOUT_S
         act = _act(claims.CLAIM, ctx, event.attempt_id)
-        self._asked[event.attempt_id] = _Asked(event, due, self._gathers(act))
-        self._pass(act)
+        self._pending[event.attempt_id] = _PendingClaim(
+            event, due, self._collecting_entry(act)
+        )
+        self._forward(act)
 
-    def _released(self, event: ClaimReleased) -> None:
-        self._asked.pop(event.attempt_id, None)
-        self._settle(_act(claims.RELEASE, event.ctx, event.attempt_id))
+    def _claim_released(self, event: ClaimReleased) -> None:
+        self._pending.pop(event.attempt_id, None)
+        self._send_until_logged(
+            _act(claims.RELEASE, event.ctx, event.attempt_id)
+        )
 
-    def _finished(self, event: ClaimFinished) -> None:
+    def _claim_finished(self, event: ClaimFinished) -> None:
         act = _act(claims.FINISH, event.ctx, event.attempt_id)
         outcome = claims.encode_outcome(event.outcome)
-        self._settle(act._replace(outcome=outcome))
+        self._send_until_logged(act._replace(outcome=outcome))
 
-    def _settle(self, act: Act) -> None:
+    def _send_until_logged(self, act: Act) -> None:
         now = self._clocks.now()
         if len(self._unsettled) < MAX_UNSETTLED:
             self._unsettled[act.attempt_id, act.act] = _Unsettled(
                 act, now + RESEND_S, now + claims.KEEP_S
             )
-        self._pass(act)
+        self._forward(act)
 
-    def _give_up(self, attempt_id: str, verdict: Verdict) -> None:
+    def _abandon_claim(self, attempt_id: str, verdict: Verdict) -> None:
         # The claim may have landed all the same, or land later. The router
         # is told first and will not dispatch this attempt any more; only
         # then is the key given back.
-        asked = self._asked.pop(attempt_id)
-        self._tell(asked.wanted, verdict)
-        self._settle(_act(claims.RELEASE, asked.wanted.ctx, attempt_id))
+        pending = self._pending.pop(attempt_id)
+        self._reply(pending.wanted, verdict)
+        self._send_until_logged(
+            _act(claims.RELEASE, pending.wanted.ctx, attempt_id)
+        )
 
-    def _tell(self, wanted: ClaimRequested, verdict: Verdict) -> None:
+    def _reply(self, wanted: ClaimRequested, verdict: Verdict) -> None:
         wanted.replies.put(
             ClaimDecided(wanted.ctx.request_id, wanted.attempt_id, verdict)
         )
 
     # Between entries.
 
-    def _pass(self, act: Act) -> None:
-        gathers = self._gathers(act)
-        if gathers == self._name:
-            self._gather('', act)
+    def _forward(self, act: Act) -> None:
+        collecting_entry = self._collecting_entry(act)
+        if collecting_entry == self._name:
+            self._collect('', act)
         else:
-            self._send_to(gathers, _request_of(act))
+            self._send_to(collecting_entry, _request_of(act))
 
-    def _gathers(self, act: Act) -> str:
+    def _collecting_entry(self, act: Act) -> str:
         now = self._clocks.now()
         entries = [
             name
             for name in self._entries
-            if self._passed_over.get(name, 0.0) <= now
+            if self._excluded_until.get(name, 0.0) <= now
         ]
         return hosting.ranked(claims.stream_of(act.key), entries)[0]
 
-    def _pass_over(self, name: str, now: float) -> None:
+    def _exclude(self, name: str, now: float) -> None:
         if name != self._name:
             logs.warn('claims_pass_over', entry=name)
-            self._passed_over[name] = now + PASSED_OVER_S
+            self._excluded_until[name] = now + EXCLUDED_S
 
-    def _gather(self, peer: str, act: Act) -> None:
+    def _collect(self, peer: str, act: Act) -> None:
         stream = claims.stream_of(act.key)
         collector = self.collectors.get(stream)
         if collector is None:
@@ -233,44 +241,47 @@
             self.collectors[stream] = collector
             logs.event('claims_gathered_here', stream=stream)
         collector.submit(
-            act, lambda verdict: self.inbox.put(_Verdict(peer, act, verdict))
+            act,
+            lambda verdict: self.inbox.put(_LocalVerdict(peer, act, verdict)),
         )
 
-    def _decided_here(self, event: _Verdict) -> None:
+    def _on_local_verdict(self, event: _LocalVerdict) -> None:
         if event.peer:
             self._send_to(event.peer, _reply_of(event.act, event.verdict))
         else:
-            self._conclude(event.act.attempt_id, event.act.act, event.verdict)
+            self._apply_verdict(
+                event.act.attempt_id, event.act.act, event.verdict
+            )
 
     def _received(self, event: links.Received) -> None:
         message = event.message
         if isinstance(message, messages.ClaimRequest):
             act = _act_of(message)
             if act is not None:
-                self._gather(event.link.peer.name, act)
+                self._collect(event.link.peer.name, act)
         elif isinstance(message, messages.ClaimReply):
             attempt_id, _slash, act_name = message.claim_id.partition('/')
-            self._conclude(attempt_id, act_name, _verdict_of(message))
+            self._apply_verdict(attempt_id, act_name, _verdict_of(message))
 
-    def _conclude(
+    def _apply_verdict(
         self, attempt_id: str, act_name: str, verdict: Verdict
     ) -> None:
         if act_name != claims.CLAIM:
             if not isinstance(verdict, Unavailable):
                 self._unsettled.pop((attempt_id, act_name), None)
             return
-        if attempt_id not in self._asked:
+        if attempt_id not in self._pending:
             # Given up in the meantime.
             return
         if isinstance(verdict, Unavailable):
-            self._give_up(attempt_id, verdict)
+            self._abandon_claim(attempt_id, verdict)
             return
-        self._tell(self._asked.pop(attempt_id).wanted, verdict)
+        self._reply(self._pending.pop(attempt_id).wanted, verdict)
 
     def _members_changed(self, event: MembersChanged) -> None:
         self._entries = _live_entries(event.members, self._name)
 
-    def _stop_idle(self, now: float) -> None:
+    def _stop_idle_collectors(self, now: float) -> None:
         for stream, collector in list(self.collectors.items()):
             if now - collector.last_used > IDLE_S:
                 collector.stop()
--- a/packages/burdockchute-entry/burdockchute_entry/completion.py
+++ b/packages/burdockchute-entry/burdockchute_entry/completion.py
@@ -21,15 +21,15 @@
 LOST_STATUS = 502
 
 
-def pass_on(request: Request, parts: list[bytes], now: float) -> None:
+def send_parts(request: Request, parts: list[bytes], now: float) -> None:
     """Give parts of the answer to the caller."""
-    if not request.passed_on:
+    if not request.parts_sent:
         request.replies.put(AnswerStarted(*request.pinned))
     if request.first_part_at is None:
         request.first_part_at = now
     for data in parts:
         request.replies.put(Part(data))
-    request.passed_on += len(parts)
+    request.parts_sent += len(parts)
 
 
 def replay(request: Request, outcome: Answered, now: float) -> Answered:
@@ -38,13 +38,13 @@
         digest=outcome.digest, adapter_digest=outcome.adapter_digest
     )
     stream = request.ctx.stream
-    pass_on(
+    send_parts(
         request, outcome.body.split(b'\n') if stream else [outcome.body], now
     )
     return outcome._replace(body=b'')
 
 
-def truthful(request: Request, outcome: Outcome) -> Outcome:
+def reportable_outcome(request: Request, outcome: Outcome) -> Outcome:
     """Give the outcome that may be told.
 
     A request that was handed on and is given up while it waits for another
@@ -55,7 +55,7 @@
     return outcome
 
 
-def tell_caller(
+def report_outcome(
     request: Request,
     outcome: Outcome,
     now: float,
@@ -70,7 +70,7 @@
         outcome=outcome,
         first_part_s=None if first_at is None else first_at - ctx.arrived,
         total_s=now - ctx.arrived,
-        parts=request.passed_on,
+        parts=request.parts_sent,
         attempts=request.attempts,
     )
     observe(finished)
@@ -88,7 +88,7 @@
     logs.event('request_finished', **fields)
 
 
-def tell_claims(
+def settle_claim(
     request: Request, outcome: Outcome, claim: Callable[[Any], None]
 ) -> None:
     """Release the key of a request or record how it ended."""
@@ -96,6 +96,6 @@
         claim(claims.ClaimReleased(request.ctx, request.claim_id))
         return
     if isinstance(outcome, Answered):
-        glue = b'\n' if request.ctx.stream else b''
-        outcome = outcome._replace(body=glue.join(request.parts))
+        separator = b'\n' if request.ctx.stream else b''
+        outcome = outcome._replace(body=separator.join(request.parts))
     claim(claims.ClaimFinished(request.ctx, request.claim_id, outcome))
--- a/packages/burdockchute-entry/burdockchute_entry/crashes_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/crashes_task.py
@@ -30,7 +30,7 @@
 
 # News of a crash is worth waiting for the log so long; by then its resends
 # have come or stay away.
-KEEP_TRYING_S = 120.0
+APPEND_TIMEOUT_S = 120.0
 
 
 class CrashesTask:
@@ -58,7 +58,7 @@
         while True:
             self._append(self.inbox.get())
 
-    def read_for_ever(self) -> None:
+    def read_forever(self) -> None:
         """Pass on what the other entries have seen."""
         while True:
             if not self._read():
@@ -66,7 +66,7 @@
 
     def _append(self, seen: CrashReport) -> None:
         data = encode(seen, self._writer, self._now_unix())
-        until = self._now() + KEEP_TRYING_S
+        until = self._now() + APPEND_TIMEOUT_S
         while self._now() < until:
             appended = self._log.append(STREAM, data)
             if not isinstance(appended, Failure):
@@ -89,14 +89,14 @@
             return False
         batch = read.unwrap()
         for record in batch.records:
-            self._pass_on(record.data)
+            self._publish_record(record.data)
         self._offset = batch.next_offset
         return True
 
-    def _pass_on(self, data: str) -> None:
-        learned = decode(data, self._writer, self._now_unix())
-        if learned is not None and learned.age_s <= suspects.RECORD_TTL_S:
-            self._publish(learned)
+    def _publish_record(self, data: str) -> None:
+        record = decode(data, self._writer, self._now_unix())
+        if record is not None and record.age_s <= suspects.RECORD_TTL_S:
+            self._publish(record)
 
 
 def encode(seen: CrashReport, writer: str, now_unix: float) -> str:
--- a/packages/burdockchute-entry/burdockchute_entry/dispatcher.py
+++ b/packages/burdockchute-entry/burdockchute_entry/dispatcher.py
@@ -20,18 +20,18 @@
 from burdockchute_entry.attempts import Attempt
 from burdockchute_entry.attempts import Request
 from burdockchute_entry.fleet import Fleet
-from burdockchute_entry.pools import Chosen
+from burdockchute_entry.pools import ChosenHost
 from burdockchute_entry.pools import Hosts
 from burdockchute_entry.pools import Pool
 
 # How long requests wait for the first instance of a target. A restart of
 # the only instance takes longer; then a caller is better told so at once.
-NO_INSTANCE_S = 2.0
+NO_INSTANCE_WAIT_S = 2.0
 NO_INSTANCE_RETRY_S = 2.0
 
 # A request whose target is open nowhere does not hold up those behind it;
 # more than this many are not looked past in one go.
-MAX_ASIDE = 32
+MAX_SKIPPED = 32
 
 Refuse = Callable[[Request, NotRun], None]
 
@@ -81,11 +81,11 @@
             for name in report.services or ()
         ]
         slots = [row.slots for row in rows if row is not None]
-        instance.report(report, max(slots, default=1), self._now())
-        self._grow_budget(float(instance.load.slots))
+        instance.apply_report(report, max(slots, default=1), self._now())
+        self._raise_burst(float(instance.load.slots))
         for pool in self._pools.values():
             if instance.hosts(pool.key):
-                self._fill(pool)
+                self._fill_slots(pool)
 
     def pool(self, request: Request) -> Pool:
         """Give the queue of a request's base model or service."""
@@ -111,48 +111,48 @@
         is_long = pool.is_long(request.work.cost)
         request.work = request.work._replace(is_long=is_long)
         refused = pool.queue.offer(
-            ctx, request.work.cost, is_long, now, self._may_yield
+            ctx, request.work.cost, is_long, now, self._is_evictable
         )
         for item in refused:
             victim = self._requests[item.ctx.request_id]
             drain_s = pool.drain_s(self.loads_of(pool), now)
             retry_s = admission.retry_after_s(drain_s)
             self._refuse(victim, NotRun('too many wait', 503, retry_s))
-        self._fill(pool)
+        self._fill_slots(pool)
 
-    def wait_again(self, request: Request) -> None:
+    def requeue(self, request: Request) -> None:
         """Let a request wait that was handed on in vain."""
         request.waiting_since = self._now()
         pool = self.pool(request)
-        if request.is_suspect or request.waiting is None:
+        if request.is_suspect or request.queue_item is None:
             pool.suspects.append(request)
         else:
-            pool.queue.put_back(request.waiting)
-        self._fill(pool)
+            pool.queue.put_back(request.queue_item)
+        self._fill_slots(pool)
 
-    def forget(self, request: Request) -> None:
+    def remove(self, request: Request) -> None:
         """Drop a request that has its final outcome."""
         pool = self.pool(request)
         pool.queue.remove(request.ctx.request_id)
         if request in pool.suspects:
             pool.suspects.remove(request)
-        self.free_instance(request)
+        self.release_instance(request)
 
-    def free_instance(self, request: Request) -> None:
+    def release_instance(self, request: Request) -> None:
         """Give an instance that was kept for a suspect back to all."""
         for instance in self.fleet.instances.values():
             if instance.load.reserved_for == request.ctx.request_id:
                 instance.load.reserved_for = ''
 
-    def fill_for(self, request: Request) -> None:
+    def fill_slots_for(self, request: Request) -> None:
         """Use the room that a request has left."""
-        self._fill(self.pool(request))
+        self._fill_slots(self.pool(request))
 
     def tick(self) -> None:
         """Do what time alone brings about."""
         for pool in self._pools.values():
-            self._refuse_stranded(pool)
-            self._fill(pool)
+            self._refuse_without_instance(pool)
+            self._fill_slots(pool)
 
     def may_retry(self, request: Request) -> bool:
         """Take one retry out of the budget, if the request may have it."""
@@ -163,15 +163,15 @@
         )
         return allowed
 
-    def _fill(self, pool: Pool) -> None:
+    def _fill_slots(self, pool: Pool) -> None:
         for request in list(pool.suspects):
             hosts = self._hosts(request)
-            chosen = pool.place_suspect(request, hosts, self._is_ours)
+            chosen = pool.choose_for_suspect(request, hosts, self._may_reserve)
             if chosen is not None and self._dispatch(request, chosen):
                 pool.suspects.remove(request)
         now = self._now()
-        aside: list[QueuedRequest] = []
-        while len(pool.queue) and len(aside) < MAX_ASIDE:
+        skipped: list[QueuedRequest] = []
+        while len(pool.queue) and len(skipped) < MAX_SKIPPED:
             free = [load for load in self.loads_of(pool) if load.headroom(now)]
             if not free:
                 break
@@ -181,25 +181,27 @@
             item = pool.queue.pop(now, allow_long)
             if item is None:
                 break
-            if not self._start(pool, item):
-                aside.append(item)
-        for item in aside:
+            if not self._try_dispatch(pool, item):
+                skipped.append(item)
+        for item in skipped:
             pool.queue.put_back(item)
 
-    def _start(self, pool: Pool, item: QueuedRequest) -> bool:
+    def _try_dispatch(self, pool: Pool, item: QueuedRequest) -> bool:
         request = self._requests[item.ctx.request_id]
         now = self._now()
         service_s = pool.unit_s * request.work.cost
         if admission.is_too_late(item.ctx, 0.0, service_s, now):
             self._refuse(request, NotRun('can not be done in time'))
             return True
-        chosen = pool.place(request, self._hosts(request), now, self._rng)
+        chosen = pool.choose_host(
+            request, self._hosts(request), now, self._rng
+        )
         if chosen is None:
             return False
-        request.waiting = item
+        request.queue_item = item
         return self._dispatch(request, chosen)
 
-    def _dispatch(self, request: Request, chosen: Chosen) -> bool:
+    def _dispatch(self, request: Request, chosen: ChosenHost) -> bool:
         ctx, now = request.ctx, self._now()
         instance, pinned = chosen
         request.placements += 1
@@ -220,20 +222,20 @@
         instance.load.on_sent(request.work, now)
         return True
 
-    def _refuse_stranded(self, pool: Pool) -> None:
+    def _refuse_without_instance(self, pool: Pool) -> None:
         # Without an instance nothing would take a request out of the queue
         # before its deadline; its caller could long have gone elsewhere.
-        before = self._now() - NO_INSTANCE_S
-        for request in pool.stranded(self._requests, before):
+        cutoff = self._now() - NO_INSTANCE_WAIT_S
+        for request in pool.waiting_before(self._requests, cutoff):
             if not self._hosts(request):
                 text = f'no instance is open for {request.ctx.target!r}'
                 self._refuse(request, NotRun(text, 503, NO_INSTANCE_RETRY_S))
 
-    def _may_yield(self, item: QueuedRequest) -> bool:
+    def _is_evictable(self, item: QueuedRequest) -> bool:
         # Its caller could only be told that it may have run.
         return not self._requests[item.ctx.request_id].attempts
 
-    def _is_ours(self, instance: str) -> bool:
+    def _may_reserve(self, instance: str) -> bool:
         if self._name not in self.entries:
             return True
         key = f'suspect/{instance}'
@@ -242,7 +244,7 @@
     def _hosts(self, request: Request) -> Hosts:
         return self.fleet.hosts(request.ctx, request.base)
 
-    def _grow_budget(self, slots: float) -> None:
+    def _raise_burst(self, slots: float) -> None:
         # All that one instance runs may be lost in one crash.
         more = slots - self._policy.burst
         if more > 0:
--- a/packages/burdockchute-entry/burdockchute_entry/fleet.py
+++ b/packages/burdockchute-entry/burdockchute_entry/fleet.py
@@ -21,14 +21,14 @@
 OPEN = 'open'
 
 
-class Pinned(NamedTuple):
+class PinnedWeights(NamedTuple):
     """Weights of one answer; empty for a plain service."""
 
     digest: str
     adapter_digest: str
 
 
-SERVICE = Pinned('', '')
+NO_WEIGHTS = PinnedWeights('', '')
 
 
 class Instance:
@@ -38,8 +38,8 @@
         self.link = link
         self.load = InstanceLoad(link.peer.name, now)
         self.leaving = False
-        self.reports = 0
-        self.open: dict[str, frozenset[str]] = {}
+        self.report_count = 0
+        self.open_digests: dict[str, frozenset[str]] = {}
         self.services: frozenset[str] = frozenset()
 
     @property
@@ -47,7 +47,7 @@
         """Give the name of the instance."""
         return self.load.name
 
-    def report(
+    def apply_report(
         self, msg: messages.LoadReport, service_slots: int, now: float
     ) -> None:
         """Take in a load report.
@@ -56,13 +56,15 @@
         wait inside its upstream. A plain service reports no slots of its
         own; `service_slots` come from the rows.
         """
-        self.reports += 1
+        self.report_count += 1
         self.leaving = msg.leaving
         opened: dict[str, set[str]] = {}
         for state in msg.weights or ():
             if state.phase == OPEN:
                 opened.setdefault(state.row, set()).add(state.digest)
-        self.open = {row: frozenset(found) for row, found in opened.items()}
+        self.open_digests = {
+            row: frozenset(found) for row, found in opened.items()
+        }
         self.services = frozenset(msg.services or ())
         self.load.forget_prefixes(msg.evicted or ())
         self.load.apply_report(
@@ -77,7 +79,11 @@
     def hosts(self, key: str) -> bool:
         """Tell whether any version of 'model/x' or 'service/x' is open."""
         kind, _slash, name = key.partition('/')
-        return name in self.services if kind == 'service' else key in self.open
+        return (
+            name in self.services
+            if kind == 'service'
+            else key in self.open_digests
+        )
 
 
 class Fleet:
@@ -85,10 +91,10 @@
 
     def __init__(self) -> None:
         self.instances: dict[str, Instance] = {}
-        self._versions: dict[str, list[Pinned]] = {}
-        self._named_leaving: frozenset[str] = frozenset()
+        self._versions: dict[str, list[PinnedWeights]] = {}
+        self._listed_leaving: frozenset[str] = frozenset()
 
-    def opened(self, link: links.Link, now: float) -> Instance:
+    def link_opened(self, link: links.Link, now: float) -> Instance:
         """Take a new link, in place of an older one to the same instance.
 
         The new one is used before the old is given up: an old link that
@@ -102,7 +108,7 @@
             instance.link = link
         return instance
 
-    def closed(self, link: links.Link) -> None:
+    def link_closed(self, link: links.Link) -> None:
         """Forget an instance whose newest link has closed."""
         instance = self.instances.get(link.peer.name)
         if instance is not None and instance.link is link:
@@ -115,36 +121,39 @@
 
     def members_changed(self, leaving: Iterable[str]) -> None:
         """Take in which instances the platform says are leaving."""
-        self._named_leaving = frozenset(leaving)
+        self._listed_leaving = frozenset(leaving)
 
     def table_changed(self, table: Table) -> None:
         """Remember which weights the table names for each target."""
         for name, row in tables.models(table).items():
-            self._name(f'model/{name}', Pinned(row.digest, ''))
+            self._add_version(f'model/{name}', PinnedWeights(row.digest, ''))
         models = tables.models(table)
         for name, adapter in tables.adapters(table).items():
             if adapter.base in models:
                 base_digest = models[adapter.base].digest
-                self._name(
-                    f'adapter/{name}', Pinned(base_digest, adapter.digest)
+                self._add_version(
+                    f'adapter/{name}',
+                    PinnedWeights(base_digest, adapter.digest),
                 )
 
     def hosts(
         self, ctx: RequestContext, base: str
-    ) -> list[tuple[Pinned, list[Instance]]]:
+    ) -> list[tuple[PinnedWeights, list[Instance]]]:
         """Give the instances that can run a request, by version.
 
         The version the row names comes first, then those before it, newest
         first; an instance may stand under more than one. Only weights that
         the table named together are given together.
         """
-        present = [i for i in self.instances.values() if self._takes_work(i)]
+        available = [
+            i for i in self.instances.values() if self._accepts_work(i)
+        ]
         if ctx.kind == 'service':
-            hosts = [i for i in present if ctx.target in i.services]
-            return [(SERVICE, hosts)] if hosts else []
+            hosts = [i for i in available if ctx.target in i.services]
+            return [(NO_WEIGHTS, hosts)] if hosts else []
         found = []
-        for pinned in self._candidates(ctx, base, present):
-            hosts = [i for i in present if _has_open(i, ctx, base, pinned)]
+        for pinned in self._candidate_versions(ctx, base, available):
+            hosts = [i for i in available if _has_open(i, ctx, base, pinned)]
             if hosts:
                 found.append((pinned, hosts))
         return found
@@ -154,10 +163,10 @@
         return [
             instance
             for instance in self.instances.values()
-            if instance.hosts(key) and self._takes_work(instance)
+            if instance.hosts(key) and self._accepts_work(instance)
         ]
 
-    def _name(self, target: str, pinned: Pinned) -> None:
+    def _add_version(self, target: str, pinned: PinnedWeights) -> None:
         versions = self._versions.setdefault(target, [])
         if versions and versions[0] == pinned:
             return
@@ -166,25 +175,25 @@
         versions.insert(0, pinned)
         del versions[MAX_VERSIONS:]
 
-    def _candidates(
-        self, ctx: RequestContext, base: str, present: list[Instance]
-    ) -> list[Pinned]:
+    def _candidate_versions(
+        self, ctx: RequestContext, base: str, available: list[Instance]
+    ) -> list[PinnedWeights]:
         known = list(self._versions.get(f'{ctx.kind}/{ctx.target}', ()))
         if ctx.kind != 'model':
             return known
         # An entry that started during a rollout has not seen the version
         # before; an agent opens none that the table did not name.
         others = {
-            Pinned(digest, '')
-            for instance in present
-            for digest in instance.open.get(f'model/{base}', ())
+            PinnedWeights(digest, '')
+            for instance in available
+            for digest in instance.open_digests.get(f'model/{base}', ())
         }
         return known + sorted(others.difference(known))
 
-    def _takes_work(self, instance: Instance) -> bool:
+    def _accepts_work(self, instance: Instance) -> bool:
         return (
             not instance.leaving
-            and instance.name not in self._named_leaving
+            and instance.name not in self._listed_leaving
             and not instance.link.closed_reason
         )
 
@@ -202,7 +211,7 @@
 def dispatch_of(
     ctx: RequestContext,
     base: str,
-    pinned: Pinned,
+    pinned: PinnedWeights,
     attempt_id: str,
     budget_s: float,
 ) -> messages.Dispatch:
@@ -227,11 +236,11 @@
 
 
 def _has_open(
-    instance: Instance, ctx: RequestContext, base: str, pinned: Pinned
+    instance: Instance, ctx: RequestContext, base: str, pinned: PinnedWeights
 ) -> bool:
-    if pinned.digest not in instance.open.get(f'model/{base}', ()):
+    if pinned.digest not in instance.open_digests.get(f'model/{base}', ()):
         return False
     if ctx.kind == 'model':
         return True
-    opened: Any = instance.open.get(f'adapter/{ctx.target}', ())
+    opened: Any = instance.open_digests.get(f'adapter/{ctx.target}', ())
     return pinned.adapter_digest in opened
--- a/packages/burdockchute-entry/burdockchute_entry/limits_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/limits_task.py
@@ -27,7 +27,7 @@
 ENTRY = 'entry'
 
 
-class DemandSeen(NamedTuple):
+class DemandMeasured(NamedTuple):
     """What each customer asked for here in the last period."""
 
     demands: Mapping[str, Demand]
@@ -40,7 +40,7 @@
     entries: int
 
 
-class _Told(NamedTuple):
+class _ReportedDemand(NamedTuple):
     demand: Demand
     at: float
 
@@ -65,10 +65,10 @@
         self._now = now
         self._table: Table = tables.EMPTY_TABLE
         self._entries = [name]
-        self._told: dict[str, dict[str, _Told]] = {}
+        self._reported: dict[str, dict[str, _ReportedDemand]] = {}
         self._shares: dict[str, Share] = {}
         self._handlers: dict[type, Callable[[Any], None]] = {
-            DemandSeen: self._demand_seen,
+            DemandMeasured: self._demand_measured,
             TableChanged: self._table_changed,
             MembersChanged: self._members_changed,
             links.Received: self._received,
@@ -88,79 +88,81 @@
         """Divide the limits of the customers that this entry answers for."""
         now = self._now()
         replies: dict[str, list[messages.Share]] = {}
-        for customer in list(self._told):
+        for customer in list(self._reported):
             for entry, share in self._divide(customer, now).items():
                 replies.setdefault(entry, []).append(share)
         for entry, shares in replies.items():
             if entry == self._name:
-                self._take(shares)
+                self._apply_shares(shares)
             else:
                 self._send_to(entry, messages.ShareReport(shares))
-        self._forget(now)
+        self._expire_shares(now)
 
     def _divide(self, customer: str, now: float) -> dict[str, messages.Share]:
-        fresh = {
-            entry: told
-            for entry, told in self._told[customer].items()
-            if now - told.at <= limits.SHARE_VALID_S
+        recent = {
+            entry: reported
+            for entry, reported in self._reported[customer].items()
+            if now - reported.at <= limits.SHARE_VALID_S
         }
         row = tables.find_row(self._table, CustomerRow, customer)
-        if not fresh or row is None:
-            del self._told[customer]
+        if not recent or row is None:
+            del self._reported[customer]
             return {}
-        self._told[customer] = fresh
+        self._reported[customer] = recent
         entries = len(self._entries)
         requests = limits.divide(
             row.requests_per_s,
-            {e: t.demand.requests_per_s for e, t in fresh.items()},
+            {e: t.demand.requests_per_s for e, t in recent.items()},
             entries,
         )
         tokens = limits.divide(
             row.tokens_per_s,
-            {e: t.demand.tokens_per_s for e, t in fresh.items()},
+            {e: t.demand.tokens_per_s for e, t in recent.items()},
             entries,
         )
         return {
             entry: messages.Share(customer, requests[entry], tokens[entry])
-            for entry in fresh
+            for entry in recent
         }
 
-    def _demand_seen(self, event: DemandSeen) -> None:
+    def _demand_measured(self, event: DemandMeasured) -> None:
         reports: dict[str, list[messages.Demand]] = {}
         for customer, demand in event.demands.items():
-            answers = hosting.ranked(f'limit/{customer}', self._entries)[0]
-            reports.setdefault(answers, []).append(
+            owner = hosting.ranked(f'limit/{customer}', self._entries)[0]
+            reports.setdefault(owner, []).append(
                 messages.Demand(customer, *demand)
             )
         for entry, demands in reports.items():
             if entry == self._name:
-                self._note(entry, demands)
+                self._record_demands(entry, demands)
             else:
                 self._send_to(entry, messages.DemandReport(demands))
 
     def _received(self, event: links.Received) -> None:
         message = event.message
         if isinstance(message, messages.DemandReport):
-            self._note(event.link.peer.name, message.demands)
+            self._record_demands(event.link.peer.name, message.demands)
         elif isinstance(message, messages.ShareReport):
-            self._take(message.shares)
+            self._apply_shares(message.shares)
 
-    def _note(self, entry: str, demands: list[messages.Demand]) -> None:
+    def _record_demands(
+        self, entry: str, demands: list[messages.Demand]
+    ) -> None:
         now = self._now()
         for demand in demands:
             found = Demand(demand.requests_per_s, demand.tokens_per_s)
-            told = self._told.setdefault(demand.customer, {})
-            told[entry] = _Told(found, now)
+            reported = self._reported.setdefault(demand.customer, {})
+            reported[entry] = _ReportedDemand(found, now)
 
-    def _take(self, shares: list[messages.Share]) -> None:
+    def _apply_shares(self, shares: list[messages.Share]) -> None:
         now = self._now()
         for share in shares:
             self._shares[share.customer] = Share(
                 share.requests_per_s, share.tokens_per_s, now
             )
-        self._tell_router()
+        self._publish_shares()
 
-    def _forget(self, now: float) -> None:
+    def _expire_shares(self, now: float) -> None:
         kept = {
             customer: share
             for customer, share in self._shares.items()
@@ -168,9 +170,9 @@
         }
         if len(kept) != len(self._shares):
             self._shares = kept
-            self._tell_router()
+            self._publish_shares()
 
-    def _tell_router(self) -> None:
+    def _publish_shares(self) -> None:
         self._publish(SharesChanged(dict(self._shares), len(self._entries)))
 
     def _table_changed(self, event: TableChanged) -> None:
@@ -181,4 +183,4 @@
             m.name for m in event.members if m.role == ENTRY and not m.leaving
         }
         self._entries = sorted(live | {self._name})
-        self._tell_router()
+        self._publish_shares()
--- a/packages/burdockchute-entry/burdockchute_entry/links_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/links_task.py
@@ -48,19 +48,19 @@
 # Agents are told this often how old the rows are; a tenth of what an operator
 # would act on, and some 30 bytes a second for each link. It comes before a
 # heartbeat would, so that the link needs none.
-AGE_EVERY_S = 1.5
+AGE_INTERVAL_S = 1.5
 
 # An entry without the log asks this many others for the table; asking all
 # would make each outage cost the square of the number of entries.
-PEERS_ASKED = 3
+MAX_PEERS_ASKED = 3
 
 
 # A link that is no longer ours to keep stays for a while, in which the list
 # may change its mind, and then until no request uses it.
-SURPLUS_S = 60.0
+SURPLUS_KEPT_S = 60.0
 
 
-class Handing(NamedTuple):
+class LinkHandlers(NamedTuple):
     """Where events of links go.
 
     `router` takes what concerns agents; `peers` has a function for each type
@@ -81,7 +81,7 @@
     answer: Callable[[int], messages.TableDelta | None]
 
 
-class _Wanted(NamedTuple):
+class _SubsetChanged(NamedTuple):
     names: frozenset[str]
 
 
@@ -90,7 +90,7 @@
     error: str
 
 
-class _ToPeer(NamedTuple):
+class _MessageToPeer(NamedTuple):
     name: str
     message: Any
 
@@ -104,7 +104,7 @@
         hello: Callable[[], messages.Hello],
         instance_list: InstanceList,
         table: TableSource,
-        handing: Handing,
+        handlers: LinkHandlers,
         rng: random.Random,
     ) -> None:
         self.inbox: queue.Queue = queue.Queue()
@@ -115,22 +115,22 @@
         self._list = instance_list
         self._table = table
         self._rng = rng
-        self._handing = handing
+        self._handlers = handlers
         self._links: dict[str, links.Link] = {}
         self._sent_offset: dict[links.Link, int] = {}
         self._dialling: dict[str, float] = {}
-        self._held_back: dict[str, list[Any]] = {}
+        self._unsent: dict[str, list[Any]] = {}
         self._membership = Membership()
-        self._heard: dict[str, LinkReport] = {}
+        self._link_reports: dict[str, LinkReport] = {}
         self._wanted: frozenset[str] = frozenset()
         self._surplus: dict[str, float] = {}
         self._subset = SubsetTask(
-            name, lambda names: self.inbox.put(_Wanted(names))
+            name, lambda names: self.inbox.put(_SubsetChanged(names))
         )
-        self._members_told: tuple[Member, ...] = ()
+        self._members_reported: tuple[Member, ...] = ()
         self._members_sent = 0
-        self._whole_made_of: tuple[Member, ...] | None = None
-        self._whole_frame = b''
+        self._complete_frame_members: tuple[Member, ...] | None = None
+        self._complete_frame = b''
         self._members_due = 0.0
         self._age_due = 0.0
 
@@ -147,7 +147,7 @@
         The message is lost if the entry can't be reached; whoever waits for
         an answer has a deadline of its own.
         """
-        self.inbox.put(_ToPeer(name, message))
+        self.inbox.put(_MessageToPeer(name, message))
 
     def ask_peers(self, known_offset: int) -> None:
         """Ask some other entries for a table newer than ours."""
@@ -156,7 +156,7 @@
             for member in self.members
             if member.role == 'entry' and member.name != self._name
         ]
-        count = min(PEERS_ASKED, len(entries))
+        count = min(MAX_PEERS_ASKED, len(entries))
         for name in self._rng.sample(entries, count):
             self.send_to(name, messages.TableRequest(known_offset))
 
@@ -169,9 +169,9 @@
     def _handle(self, event: Any) -> None:
         handlers: dict[type, Callable[[Any], None]] = {
             Tick: self._on_tick,
-            _Wanted: self._on_wanted,
+            _SubsetChanged: self._on_subset,
             _Dialled: self._on_dialled,
-            _ToPeer: self._on_to_peer,
+            _MessageToPeer: self._on_to_peer,
             TableChanged: self._on_table,
             links.Opened: self._on_opened,
             links.Closed: self._on_closed,
@@ -185,13 +185,13 @@
             self.list_read_at = now
             self._set_membership(
                 membership.on_list(
-                    self._membership, tick.listed, self._heard, now
+                    self._membership, tick.listed, self._link_reports, now
                 )
             )
         if self._members_due and now >= self._members_due:
-            self._tell_members()
+            self._send_member_changes()
         if now >= self._age_due:
-            self._age_due = now + AGE_EVERY_S
+            self._age_due = now + AGE_INTERVAL_S
             self._send_rows(self.agent_links())
         self._dial_missing(now)
         self._close_surplus(now)
@@ -204,25 +204,27 @@
             return
         self.members = state.members
         self._members_due = time.monotonic() + MEMBERS_DELAY_S
-        for take in (self._handing.router, self._subset.inbox.put):
-            take(MembersChanged(self.members))
+        for publish in (self._handlers.router, self._subset.inbox.put):
+            publish(MembersChanged(self.members))
 
-    def _tell_members(self) -> None:
+    def _send_member_changes(self) -> None:
         self._members_due = 0.0
         self._members_sent += 1
-        came, gone = membership.changes(self._members_told, self.members)
-        self._members_told = self.members
+        added, removed = membership.changes(
+            self._members_reported, self.members
+        )
+        self._members_reported = self.members
         message = messages.Members(
-            list(instance_polling.agents_on_wire(came)),
+            list(instance_polling.agents_on_wire(added)),
             self._members_sent,
             True,
-            gone,
+            removed,
         )
         frame = links.frame_of(message)
         for link in self.agent_links():
             self._send_frame(link, frame)
 
-    def _on_wanted(self, wanted: _Wanted) -> None:
+    def _on_subset(self, wanted: _SubsetChanged) -> None:
         self._wanted = wanted.names
         self._dial_missing(time.monotonic())
 
@@ -246,9 +248,9 @@
         spare = len(surplus) - len(missing)
         for name, link in surplus.items():
             since = self._surplus.setdefault(name, now)
-            if spare <= 0 or now - since <= SURPLUS_S:
+            if spare <= 0 or now - since <= SURPLUS_KEPT_S:
                 continue
-            if not self._handing.in_use(name):
+            if not self._handlers.in_use(name):
                 spare -= 1
                 del self._surplus[name]
                 link.close('not in the subset of this entry')
@@ -276,21 +278,19 @@
     def _on_dialled(self, dialled: _Dialled) -> None:
         self._dialling[dialled.name] = time.monotonic() + REDIAL_S
         if dialled.error:
-            self._held_back.pop(dialled.name, None)
+            self._unsent.pop(dialled.name, None)
             logs.event(
                 'dial_failed', instance=dialled.name, reason=dialled.error
             )
 
-    def _on_to_peer(self, request: _ToPeer) -> None:
+    def _on_to_peer(self, request: _MessageToPeer) -> None:
         link = self._links.get(request.name)
         if link is not None:
             self._send(link, request.message)
             return
         peer = self._member(request.name)
         if peer is not None:
-            self._held_back.setdefault(request.name, []).append(
-                request.message
-            )
+            self._unsent.setdefault(request.name, []).append(request.message)
             self._dial(peer, time.monotonic())
 
     def _on_table(self, changed: TableChanged) -> None:
@@ -306,7 +306,7 @@
             # Two entries may dial each other at once. Both links stay, since
             # closing one could lose what is on its way.
             self._links.setdefault(link.peer.name, link)
-        for message in self._held_back.pop(link.peer.name, ()):
+        for message in self._unsent.pop(link.peer.name, ()):
             self._send(link, message)
 
     def _agent_opened(self, event: links.Opened) -> None:
@@ -319,8 +319,8 @@
         self._links[link.peer.name] = link
         self._sent_offset[link] = link.peer.table_offset
         self._send_rows([link])
-        self._send_frame(link, self._whole_members())
-        self._handing.router(event)
+        self._send_frame(link, self._complete_members_frame())
+        self._handlers.router(event)
         if old is not None:
             old.close('replaced by a newer link')
 
@@ -328,7 +328,7 @@
         link = event.link
         if self._links.get(link.peer.name) is link:
             del self._links[link.peer.name]
-            self._heard.pop(link.peer.name, None)
+            self._link_reports.pop(link.peer.name, None)
         self._sent_offset.pop(link, None)
         logs.event(
             'link_closed',
@@ -337,32 +337,34 @@
             reason=event.reason,
         )
         if link.peer.role == 'agent':
-            self._handing.router(event)
+            self._handlers.router(event)
 
     def _on_received(self, event: links.Received) -> None:
         if isinstance(event.message, messages.TableRequest):
             self._answer_table(event.link, event.message)
         elif event.link.peer.role == 'agent':
             if isinstance(event.message, messages.LoadReport):
-                self._hear(event.link, event.message.leaving)
-            self._handing.router(event)
+                self._record_leaving(event.link, event.message.leaving)
+            self._handlers.router(event)
         else:
-            handler = self._handing.peers.get(type(event.message))
+            handler = self._handlers.peers.get(type(event.message))
             if handler is not None:
                 handler(event)
 
-    def _hear(self, link: links.Link, leaving: bool) -> None:
+    def _record_leaving(self, link: links.Link, leaving: bool) -> None:
         name = link.peer.name
-        known = self._heard.get(name)
+        known = self._link_reports.get(name)
         if self._links.get(name) is not link:
             return
         if known is not None and known.leaving == leaving:
             return
         member = self._member(name)
         if member is not None:
-            self._heard[name] = LinkReport(member, leaving)
+            self._link_reports[name] = LinkReport(member, leaving)
             self._set_membership(
-                membership.on_link_reports(self._membership, self._heard)
+                membership.on_link_reports(
+                    self._membership, self._link_reports
+                )
             )
 
     def _answer_table(
@@ -390,15 +392,15 @@
             self._sent_offset[link] = max(sent, self._table.offset())
             self._send_frame(link, frames[sent])
 
-    def _whole_members(self) -> bytes:
+    def _complete_members_frame(self) -> bytes:
         # A megabyte on the largest site; made once for all who connect
         # between two changes.
-        if self._whole_made_of is not self.members:
+        if self._complete_frame_members is not self.members:
             agents = list(instance_polling.agents_on_wire(self.members))
             message = messages.Members(agents, self._members_sent)
-            self._whole_frame = links.frame_of(message)
-            self._whole_made_of = self.members
-        return self._whole_frame
+            self._complete_frame = links.frame_of(message)
+            self._complete_frame_members = self.members
+        return self._complete_frame
 
     def _member(self, name: str) -> Member | None:
         return next((m for m in self.members if m.name == name), None)
--- a/packages/burdockchute-entry/burdockchute_entry/pools.py
+++ b/packages/burdockchute-entry/burdockchute_entry/pools.py
@@ -24,11 +24,11 @@
 from burdockchute.model.table import Table
 from burdockchute_entry.attempts import Request
 from burdockchute_entry.fleet import Instance
-from burdockchute_entry.fleet import Pinned
+from burdockchute_entry.fleet import PinnedWeights
 
 # Of the instances of a pool so many may be kept for suspects, so that those
 # who have nothing to do with a crash are still served.
-SUSPECT_SHARE = 0.5
+MAX_RESERVED_SHARE = 0.5
 
 
 class Placeable(Protocol):
@@ -52,14 +52,14 @@
 
 AnyHost = TypeVar('AnyHost', bound=Host)
 
-Hosts = list[tuple[Pinned, list[Instance]]]
+Hosts = list[tuple[PinnedWeights, list[Instance]]]
 
 
-class Chosen(NamedTuple, Generic[AnyHost]):
+class ChosenHost(NamedTuple, Generic[AnyHost]):
     """Where a request goes and the weights that it is pinned to."""
 
     instance: AnyHost
-    pinned: Pinned
+    pinned: PinnedWeights
 
 
 class Pool:
@@ -111,7 +111,7 @@
         loads = list(loads)
         if any(load.headroom(now) for load in loads) and not len(self.queue):
             return 0.0
-        slots = sum(_slots_for_us(load, now) for load in loads)
+        slots = sum(_available_slots(load, now) for load in loads)
         cost = request.work.cost
         return (
             self.queue.work_ahead_of(request.ctx, cost)
@@ -121,27 +121,29 @@
 
     def drain_s(self, loads: Iterable[InstanceLoad], now: float) -> float:
         """Estimate how long all that waits will take."""
-        slots = sum(_slots_for_us(load, now) for load in loads)
+        slots = sum(_available_slots(load, now) for load in loads)
         return self.queue.work() * self.unit_s / max(1, slots)
 
-    def stranded(
-        self, requests: Mapping[str, Request], before: float
+    def waiting_before(
+        self, requests: Mapping[str, Request], cutoff: float
     ) -> list[Request]:
         """Give the requests that have waited since before a time."""
         queued = [
             requests[item.ctx.request_id]
-            for item in self.queue.queued_before(before)
+            for item in self.queue.queued_before(cutoff)
+        ]
+        waiting = queued + self.suspects
+        return [
+            request for request in waiting if request.waiting_since < cutoff
         ]
-        both = queued + self.suspects
-        return [request for request in both if request.waiting_since < before]
 
-    def place(
+    def choose_host(
         self,
         request: Placeable,
-        hosts: list[tuple[Pinned, list[AnyHost]]],
+        hosts: list[tuple[PinnedWeights, list[AnyHost]]],
         now: float,
         rng: random.Random,
-    ) -> Chosen[AnyHost] | None:
+    ) -> ChosenHost[AnyHost] | None:
         """Choose for one request; None where none of its hosts has room.
 
         The named version goes first. Where its replicas are full, one that
@@ -149,61 +151,65 @@
         replica of a new version would otherwise get everybody's load.
         """
         for pinned, instances in hosts:
-            fit = [i for i in instances if not request.avoids(i)]
-            loads: Iterable[InstanceLoad] = [i.load for i in fit]
+            candidates = [i for i in instances if not request.avoids(i)]
+            loads: Iterable[InstanceLoad] = [i.load for i in candidates]
             if request.work.is_long:
                 loads = placement.accepting_long(loads, self.long_share)
             load = placement.choose_instance(
                 tuple(loads), request.work, self.unit_s, now, rng
             )
             if load is not None:
-                by_name = {i.name: i for i in fit}
-                return Chosen(by_name[load.name], pinned)
+                by_name = {i.name: i for i in candidates}
+                return ChosenHost(by_name[load.name], pinned)
         return None
 
-    def place_suspect(
+    def choose_for_suspect(
         self,
         request: Request,
         hosts: Hosts,
-        is_ours: Callable[[str], bool] = lambda name: True,
-    ) -> Chosen[Instance] | None:
+        may_reserve: Callable[[str], bool] = lambda name: True,
+    ) -> ChosenHost[Instance] | None:
         """Choose an instance on which a suspect runs alone.
 
         One that is busy is kept for it and gets no more work meanwhile. Were
         two entries to run suspects of one crash on the same instance, the
-        second crash would convict a bystander as well; `is_ours` tells which
-        instances this entry may keep, as long as it may keep any.
+        second crash would convict a bystander as well; `may_reserve` tells
+        which instances this entry may keep, as long as it may keep any.
         """
-        ours = [
-            (pinned, [i for i in found if is_ours(i.name)])
+        reservable = [
+            (pinned, [i for i in found if may_reserve(i.name)])
             for pinned, found in hosts
         ]
-        if any(found for _pinned, found in ours):
-            hosts = ours
-        kept = _kept_for(request, hosts)
-        if kept is None:
-            kept = _keep_one(request, hosts)
-        if kept is None or kept.instance.load.ours:
+        if any(found for _pinned, found in reservable):
+            hosts = reservable
+        reserved = _find_reserved(request, hosts)
+        if reserved is None:
+            reserved = _reserve_one(request, hosts)
+        if reserved is None or reserved.instance.load.ours:
             return None
-        return kept
+        return reserved
 
 
-def _slots_for_us(load: InstanceLoad, now: float) -> int:
+def _available_slots(load: InstanceLoad, now: float) -> int:
     return max(1, load.slots - (load.in_flight(now) - load.ours))
 
 
-def _kept_for(request: Request, hosts: Hosts) -> Chosen[Instance] | None:
+def _find_reserved(
+    request: Request, hosts: Hosts
+) -> ChosenHost[Instance] | None:
     for pinned, instances in hosts:
         for instance in instances:
             if instance.load.reserved_for == request.ctx.request_id:
-                return Chosen(instance, pinned)
+                return ChosenHost(instance, pinned)
     return None
 
 
-def _keep_one(request: Request, hosts: Hosts) -> Chosen[Instance] | None:
-    everywhere = {i.name: i for _pinned, found in hosts for i in found}
-    kept = sum(bool(i.load.reserved_for) for i in everywhere.values())
-    if kept >= max(1, int(len(everywhere) * SUSPECT_SHARE)):
+def _reserve_one(
+    request: Request, hosts: Hosts
+) -> ChosenHost[Instance] | None:
+    by_name = {i.name: i for _pinned, found in hosts for i in found}
+    reserved = sum(bool(i.load.reserved_for) for i in by_name.values())
+    if reserved >= max(1, int(len(by_name) * MAX_RESERVED_SHARE)):
         return None
     for pinned, instances in hosts:
         free = [
@@ -214,5 +220,5 @@
         if free:
             chosen = min(free, key=lambda i: (i.load.ours, i.name))
             chosen.load.reserved_for = request.ctx.request_id
-            return Chosen(chosen, pinned)
+            return ChosenHost(chosen, pinned)
     return None
--- a/packages/burdockchute-entry/burdockchute_entry/request_metrics.py
+++ b/packages/burdockchute-entry/burdockchute_entry/request_metrics.py
@@ -19,7 +19,7 @@
 ANY = '*'
 
 # A caller's own mistake or flood is not the system's failure.
-CALLER_STATUSES = range(400, 500)
+CALLER_ERROR_STATUSES = range(400, 500)
 
 
 class RequestMetrics:
@@ -42,7 +42,7 @@
             description='mean of each streamed request',
         )
 
-    def finished(self, done: RequestSummary) -> None:
+    def record_finished(self, done: RequestSummary) -> None:
         """Count one request."""
         ctx = done.ctx
         outcome = name_of(done.outcome)
@@ -57,14 +57,14 @@
             if covers(objective, done):
                 self._count(objective, done, time.time())
 
-    def page(self) -> list[reports.CountsOnWire]:
+    def burn_counts(self) -> list[reports.CountsOnWire]:
         """Give what the burn report adds up."""
         return reports.page_of(self._counts, time.time(), self._targets)
 
     def _count(
         self, objective: ObjectiveRow, done: RequestSummary, now: float
     ) -> None:
-        for indicator, target, bad in judge(objective, done):
+        for indicator, target, bad in evaluate(objective, done):
             key = burn.Key(
                 objective.name, done.ctx.customer, done.ctx.target, indicator
             )
@@ -78,10 +78,10 @@
     models = (ANY, done.ctx.target)
     if objective.customer not in customers or objective.model not in models:
         return False
-    return not _is_callers_fault(done)
+    return not _is_caller_error(done)
 
 
-def judge(
+def evaluate(
     objective: ObjectiveRow, done: RequestSummary
 ) -> list[tuple[str, float, bool]]:
     """Give (indicator, target, whether bad) for what can be judged."""
@@ -104,8 +104,8 @@
     return (done.total_s - done.first_part_s) / (done.parts - 1)
 
 
-def _is_callers_fault(done: RequestSummary) -> bool:
+def _is_caller_error(done: RequestSummary) -> bool:
     outcome = done.outcome
     if isinstance(outcome, NotRun):
-        return outcome.status in CALLER_STATUSES
+        return outcome.status in CALLER_ERROR_STATUSES
     return False
--- a/packages/burdockchute-entry/burdockchute_entry/router.py
+++ b/packages/burdockchute-entry/burdockchute_entry/router.py
@@ -38,10 +38,10 @@
 from burdockchute_entry import completion
 from burdockchute_entry import fleet as fleets
 from burdockchute_entry.attempts import Attempt
-from burdockchute_entry.attempts import Broken
+from burdockchute_entry.attempts import Incomplete
 from burdockchute_entry.attempts import Request
 from burdockchute_entry.dispatcher import Dispatcher
-from burdockchute_entry.limits_task import DemandSeen
+from burdockchute_entry.limits_task import DemandMeasured
 from burdockchute_entry.limits_task import PERIOD_S
 from burdockchute_entry.limits_task import SharesChanged
 
@@ -51,7 +51,7 @@
 
 
 # An answer that takes so many times the usual counts against its instance.
-LATE_FACTOR = 2.0
+SLOW_FACTOR = 2.0
 
 
 class Router:
@@ -67,9 +67,9 @@
         now: Callable[[], float],
         rng: random.Random,
         claim: Callable[[Any], None] | None = None,
-        crash: Callable[[CrashReport], None] = lambda seen: None,
-        observe: Callable[[RequestSummary], None] = lambda finished: None,
-        demand: Callable[[DemandSeen], None] = lambda seen: None,
+        crash: Callable[[CrashReport], None] = lambda _event: None,
+        observe: Callable[[RequestSummary], None] = lambda _event: None,
+        demand: Callable[[DemandMeasured], None] = lambda _event: None,
         name: str = '',
     ) -> None:
         self.inbox: queue.Queue = queue.Queue()
@@ -89,7 +89,7 @@
             name,
         )
         self._deadlines: list[tuple[float, str]] = []
-        self._intake = admission_control.AdmissionControl()
+        self._admission = admission_control.AdmissionControl()
         self._suspects = Suspects()
         self._ticked_at = now()
         self._handlers: dict[type, Callable[[Any], None]] = {
@@ -98,18 +98,18 @@
             TableChanged: self._table_changed,
             MembersChanged: self._members_changed,
             SharesChanged: self._shares_changed,
-            PeerCrashReport: self._crash_learned,
+            PeerCrashReport: self._crash_reported,
             claims.ClaimDecided: self._claim_decided,
-            links.Opened: self._opened,
+            links.Opened: self._link_opened,
             links.Received: self._received,
-            links.Closed: self._closed,
+            links.Closed: self._link_closed,
         }
 
     def run(self) -> None:
         """Take messages for ever."""
         while True:
             try:
-                event = self.inbox.get(timeout=self._until_due())
+                event = self.inbox.get(timeout=self._next_deadline_in_s())
             except queue.Empty:
                 self.tick()
                 continue
@@ -133,9 +133,9 @@
         self._dispatcher.tick()
         if self._demand_due <= now:
             self._demand_due = now + PERIOD_S
-            demands = self._intake.take_demands(PERIOD_S)
+            demands = self._admission.take_demands(PERIOD_S)
             if demands:
-                self._demand(DemandSeen(demands))
+                self._demand(DemandMeasured(demands))
 
     def open_requests(self) -> int:
         """Give the number of requests without a final outcome."""
@@ -150,7 +150,7 @@
         """Give the names of the linked instances."""
         return sorted(self._dispatcher.fleet.instances)
 
-    def _until_due(self) -> float:
+    def _next_deadline_in_s(self) -> float:
         if not self._deadlines:
             return TICK_S
         return min(TICK_S, max(0.0, self._deadlines[0][0] - self._now()))
@@ -169,7 +169,7 @@
         elif ctx.idempotent:
             self._dispatcher.enqueue(request)
         else:
-            self._ask_for_claim(request)
+            self._request_claim(request)
 
     def _refusal(self, request: Request) -> NotRun | None:
         now = self._now()
@@ -179,9 +179,9 @@
             return NotRun('crashed the upstreams', 503, refused_s)
         pool = self._dispatcher.pool(request)
         loads = self._dispatcher.loads_of(pool)
-        return self._intake.refusal(request, pool, loads, self._table, now)
+        return self._admission.refusal(request, pool, loads, self._table, now)
 
-    def _ask_for_claim(self, request: Request) -> None:
+    def _request_claim(self, request: Request) -> None:
         ctx = request.ctx
         if self._claim is None:
             self._finish(request, NotRun('claims are not available'))
@@ -210,7 +210,7 @@
         if isinstance(message, messages.LoadReport):
             self._dispatcher.load_reported(event.link, message)
             return
-        handler = self._ANSWERS.get(type(message))
+        handler = self._ANSWER_HANDLERS.get(type(message))
         request = self._requests.get(getattr(message, 'request_id', ''))
         if handler is None or request is None:
             return
@@ -218,22 +218,22 @@
         if request.attempt and request.attempt.link is event.link:
             handler(self, request, message)
 
-    def _part(self, request: Request, part: messages.AnswerPart) -> None:
+    def _on_part(self, request: Request, part: messages.AnswerPart) -> None:
         assert request.attempt is not None
         ready = request.attempt.accept(part)
         request.parts.extend(ready)
         if ready and request.ctx.stream:
-            completion.pass_on(request, ready, self._now())
+            completion.send_parts(request, ready, self._now())
 
-    def _end(self, request: Request, end: messages.AnswerEnd) -> None:
+    def _on_end(self, request: Request, end: messages.AnswerEnd) -> None:
         attempt = request.attempt
         assert attempt is not None
-        verdict = attempt.judge(end)
-        if isinstance(verdict, Broken):
-            self._lost(request, verdict)
+        verdict = attempt.check_end(end)
+        if isinstance(verdict, Incomplete):
+            self._attempt_lost(request, verdict)
             return
         now = self._now()
-        self._dispatcher.free_instance(request)
+        self._dispatcher.release_instance(request)
         pool = self._dispatcher.pool(request)
         service_s = now - attempt.sent_at
         attempt.instance.load.on_answered(
@@ -245,23 +245,23 @@
         request.attempt = None
         self._suspects.answered(request.ctx.fingerprint)
         if not request.ctx.stream:
-            completion.pass_on(request, request.parts, now)
+            completion.send_parts(request, request.parts, now)
         outcome = Answered(
             end.status, end.content_type, b'', end.digest, end.adapter_digest
         )
         self._finish(request, outcome)
-        self._dispatcher.fill_for(request)
+        self._dispatcher.fill_slots_for(request)
 
-    def _not_run(self, request: Request, message: messages.NotRun) -> None:
+    def _on_not_run(self, request: Request, message: messages.NotRun) -> None:
         attempt = request.attempt
         assert attempt is not None
         attempt.instance.load.on_returned(request.work)
-        self._dispatcher.free_instance(request)
+        self._dispatcher.release_instance(request)
         request.attempt = None
         request.attempts -= 1
         request.avoid(attempt.instance)
         if request.placements < retries.MAX_PLACEMENTS:
-            self._dispatcher.wait_again(request)
+            self._dispatcher.requeue(request)
             return
         retry_s = (message.retry_after_ms or 0) / 1000
         reason = f'{message.reason} at {attempt.instance.name}'
@@ -269,32 +269,32 @@
             request, NotRun(reason, 503, admission.retry_after_s(retry_s))
         )
 
-    _ANSWERS: dict[type, Callable[[Router, Request, Any], None]] = {
-        messages.AnswerPart: _part,
-        messages.AnswerEnd: _end,
-        messages.NotRun: _not_run,
+    _ANSWER_HANDLERS: dict[type, Callable[[Router, Request, Any], None]] = {
+        messages.AnswerPart: _on_part,
+        messages.AnswerEnd: _on_end,
+        messages.NotRun: _on_not_run,
     }
 
-    def _lost(self, request: Request, broken: Broken) -> None:
+    def _attempt_lost(self, request: Request, incomplete: Incomplete) -> None:
         """Decide on a request that was handed on and came to nothing."""
         attempt = request.attempt
         assert attempt is not None
         self._count_failure(request, attempt)
-        if broken.crashed:
+        if incomplete.crashed:
             self._count_crash(request, attempt)
-        self._dispatcher.free_instance(request)
+        self._dispatcher.release_instance(request)
         request.attempt = None
         refused = self._suspects.refused_for_s(
             request.ctx.fingerprint, self._now()
         )
-        again = not refused and request.may_run_again()
-        if not again or not self._dispatcher.may_retry(request):
-            self._finish(request, Unknown(broken.reason, 502))
+        may_retry = not refused and request.may_run_again()
+        if not may_retry or not self._dispatcher.may_retry(request):
+            self._finish(request, Unknown(incomplete.reason, 502))
             return
         request.parts.clear()
         request.avoid(attempt.instance)
-        request.is_suspect = broken.crashed
-        self._dispatcher.wait_again(request)
+        request.is_suspect = incomplete.crashed
+        self._dispatcher.requeue(request)
 
     def _count_failure(self, request: Request, attempt: Attempt) -> None:
         now = self._now()
@@ -303,12 +303,12 @@
         service_s = now - attempt.sent_at
         load.on_failed(request.work, service_s, mean_unit_s, now)
 
-    def _count_late(self, request: Request, attempt: Attempt) -> None:
+    def _count_if_slow(self, request: Request, attempt: Attempt) -> None:
         # A request that was sent shortly before its deadline is late
         # through no fault of the instance.
         mean_unit_s = self._dispatcher.pool(request).unit_s
         usual_s = mean_unit_s * request.work.cost
-        if self._now() - attempt.sent_at > LATE_FACTOR * usual_s:
+        if self._now() - attempt.sent_at > SLOW_FACTOR * usual_s:
             self._count_failure(request, attempt)
         else:
             attempt.instance.load.on_returned(request.work)
@@ -337,8 +337,8 @@
             reason = 'deadline passed before its turn'
             self._finish(request, NotRun(reason, 503))
             return
-        self._count_late(request, request.attempt)
-        self._give_up(request)
+        self._count_if_slow(request, request.attempt)
+        self._cancel_attempt(request)
         self._finish(request, Unknown('deadline passed'))
 
     def _caller_gone(self, event: CallerGone) -> None:
@@ -353,10 +353,10 @@
             logs.event('caller_gone', request_id=event.request_id)
         else:
             request.attempt.instance.load.on_returned(request.work)
-            self._give_up(request)
+            self._cancel_attempt(request)
             self._finish(request, Unknown('caller has gone'))
 
-    def _give_up(self, request: Request) -> None:
+    def _cancel_attempt(self, request: Request) -> None:
         attempt = request.attempt
         assert attempt is not None
         try:
@@ -365,27 +365,27 @@
             # The agent stops what came over a link that has closed.
             pass
         request.attempt = None
-        self._dispatcher.fill_for(request)
+        self._dispatcher.fill_slots_for(request)
 
     def _finish(self, request: Request, outcome: Outcome) -> None:
         del self._requests[request.ctx.request_id]
-        self._dispatcher.forget(request)
-        outcome = completion.truthful(request, outcome)
-        completion.tell_caller(request, outcome, self._now(), self._observe)
+        self._dispatcher.remove(request)
+        outcome = completion.reportable_outcome(request, outcome)
+        completion.report_outcome(request, outcome, self._now(), self._observe)
         if request.claim_id and self._claim is not None:
-            completion.tell_claims(request, outcome, self._claim)
+            completion.settle_claim(request, outcome, self._claim)
 
     # Instances and the table.
 
-    def _opened(self, event: links.Opened) -> None:
-        self._dispatcher.fleet.opened(event.link, self._now())
+    def _link_opened(self, event: links.Opened) -> None:
+        self._dispatcher.fleet.link_opened(event.link, self._now())
 
-    def _closed(self, event: links.Closed) -> None:
-        self._dispatcher.fleet.closed(event.link)
+    def _link_closed(self, event: links.Closed) -> None:
+        self._dispatcher.fleet.link_closed(event.link)
         reason = f'link closed: {event.reason}'
         for request in list(self._requests.values()):
             if request.attempt and request.attempt.link is event.link:
-                self._lost(request, Broken(reason, False))
+                self._attempt_lost(request, Incomplete(reason, False))
 
     def _table_changed(self, event: TableChanged) -> None:
         self._table = event.table
@@ -399,8 +399,8 @@
         )
 
     def _shares_changed(self, event: SharesChanged) -> None:
-        self._intake.shares = event.shares
-        self._intake.entries = event.entries
+        self._admission.shares = event.shares
+        self._admission.entries = event.entries
 
-    def _crash_learned(self, event: PeerCrashReport) -> None:
+    def _crash_reported(self, event: PeerCrashReport) -> None:
         self._suspects.peer_reported(event, self._now())
--- a/packages/burdockchute-entry/burdockchute_entry/subset_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/subset_task.py
@@ -21,7 +21,7 @@
 
 # About five milliseconds of work on the largest site, then as much time for
 # the rest of the process.
-AGENTS_A_STEP = 25
+AGENTS_PER_STEP = 25
 PAUSE_S = 0.005
 
 
@@ -29,35 +29,35 @@
     """Owns the choice; `publish` gets the names when they change."""
 
     def __init__(
-        self, own: str, publish: Callable[[frozenset[str]], None]
+        self, own_name: str, publish: Callable[[frozenset[str]], None]
     ) -> None:
         self.inbox: queue.Queue = queue.Queue()
-        self._subset = Subset(own)
+        self._subset = Subset(own_name)
         self._table: Table = EMPTY_TABLE
-        self._wanted: frozenset[str] = frozenset()
+        self._chosen: frozenset[str] = frozenset()
         self._publish = publish
 
     def run(self) -> None:
         """Handle messages for ever."""
         while True:
-            self._take(self.inbox.get())
+            self._apply(self.inbox.get())
             while not self.inbox.empty():
-                self._take(self.inbox.get())
+                self._apply(self.inbox.get())
             self._choose()
 
-    def _take(self, event: TableChanged | MembersChanged) -> None:
+    def _apply(self, event: TableChanged | MembersChanged) -> None:
         if isinstance(event, TableChanged):
             self._table = event.table
         else:
             self._subset.set_members(event.members)
 
     def _choose(self) -> None:
-        while not self._subset.step(AGENTS_A_STEP):
+        while not self._subset.step(AGENTS_PER_STEP):
             gevent.sleep(PAUSE_S)
-        wanted = self._subset.wanted(
+        chosen = self._subset.wanted(
             self._table, lambda: gevent.sleep(PAUSE_S)
         )
-        if wanted != self._wanted:
-            self._wanted = frozenset(wanted)
-            logs.event('subset_chosen', agents=len(wanted))
-            self._publish(self._wanted)
+        if chosen != self._chosen:
+            self._chosen = frozenset(chosen)
+            logs.event('subset_chosen', agents=len(chosen))
+            self._publish(self._chosen)
--- a/packages/burdockchute-entry/burdockchute_entry/table_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/table_task.py
@@ -40,7 +40,7 @@
 # 360 entries make 180 reads a second of an idle log. As an answer counts from
 # when it was asked for, the age of a table that is up to date goes up to twice
 # this much.
-WAIT_S = 2.0
+POLL_TIMEOUT_S = 2.0
 
 RETRY_MIN_S = 0.2
 RETRY_MAX_S = 2.0
@@ -48,16 +48,16 @@
 # A second over the age that is usual; below that, a slow reply would set all
 # entries asking each other. With the answer it stays well within the 8 s in
 # which an edit has to be in force.
-ASK_PEERS_AGE_S = 2 * WAIT_S + 1.0
-ASK_PEERS_EVERY_S = 1.0
-WATCH_S = 0.25
+ASK_PEERS_AGE_S = 2 * POLL_TIMEOUT_S + 1.0
+ASK_PEERS_INTERVAL_S = 1.0
+WATCH_INTERVAL_S = 0.25
 
 # How long a fresh process waits for further peers after the first has
 # answered, so that it does not begin with the oldest table among them.
-GATHER_S = 0.5
+PEER_TABLES_WAIT_S = 0.5
 
 MAX_AGE_MS = 2**31 - 1
-KEPT_FINDINGS = 20
+MAX_FINDINGS = 20
 LOG_UP = 'up'
 
 
@@ -89,7 +89,8 @@
 
     `publish` is called with each new table, never an older one. `ask_peers`
     is called with the offset held when peers should be asked by
-    TableRequest; their answers go to `take`. Times are seconds of `clock`.
+    TableRequest; their answers go to `apply_peer_table`. Times are seconds of
+    `clock`.
     """
 
     def __init__(
@@ -100,7 +101,7 @@
         ask_peers: Callable[[int], None] = lambda offset: None,
         clock: Callable[[], float] = time.monotonic,
         rng: random.Random | None = None,
-        wait_s: float = WAIT_S,
+        poll_timeout_s: float = POLL_TIMEOUT_S,
     ) -> None:
         self.table = EMPTY_TABLE
         self.changes = deltas.RecentChanges()
@@ -111,31 +112,31 @@
         self._ask_peers = ask_peers
         self._clock = clock
         self._rng = rng or random.Random()
-        self._wait_s = wait_s
-        self._next = 0
+        self._poll_timeout_s = poll_timeout_s
+        self._next_offset = 0
         self._confirmed_at = float('-inf')
         self._asked_at = float('-inf')
-        self._offered: deltas.Applied | None = None
-        self._offered_at = 0.0
-        self._offered_confirmed_at = float('-inf')
+        self._peer_table: deltas.Applied | None = None
+        self._first_peer_table_at = 0.0
+        self._peer_confirmed_at = float('-inf')
         self._retry_s = RETRY_MIN_S
         self._log_state = 'not read yet'
         self._findings: list[Finding] = []
         self._snapshots = snapshots.SnapshotState(NO_OFFSET, 0, float('inf'))
-        self._writing: gevent.Greenlet | None = None
+        self._snapshot_writer: gevent.Greenlet | None = None
 
     def run(self) -> None:
         """Follow the log for ever; runs as a greenlet."""
-        _measure(self)
+        _register_gauges(self)
         gevent.spawn(self._watch, gevent.getcurrent())
         self._load_until_done()
         while True:
             sent_at = self._clock()
             read = self._log.read(
                 table_log.STREAM,
-                max(self._next, self.table.offset + 1),
+                max(self._next_offset, self.table.offset + 1),
                 table_log.MAX_RECORDS,
-                self._wait_s,
+                self._poll_timeout_s,
             )
             if isinstance(read, Failure):
                 self._on_error(read.failure())
@@ -160,7 +161,7 @@
 
     def delta_for(self, offset: int) -> messages.TableDelta:
         """Give what an agent at `offset` lacks, with our age."""
-        return self._aged(self.changes.since(offset, self.table))
+        return self._with_age(self.changes.since(offset, self.table))
 
     def answer(self, known_offset: int) -> messages.TableDelta | None:
         """Answer the TableRequest of a peer entry, None for nothing new."""
@@ -168,10 +169,10 @@
             return None
         if known_offset == self.table.offset:
             same = messages.TableDelta(known_offset, known_offset, [])
-            return self._aged(same)
-        return self._aged(deltas.full_table(self.table, with_seen=True))
+            return self._with_age(same)
+        return self._with_age(deltas.full_table(self.table, with_seen=True))
 
-    def take(self, delta: messages.TableDelta) -> None:
+    def apply_peer_table(self, delta: messages.TableDelta) -> None:
         """Take a peer entry's answer; only ever moves forward."""
         now = self._clock()
         confirmed_at = now - (delta.age_ms or 0) / 1000
@@ -180,32 +181,32 @@
             return
         if delta.from_offset != NO_OFFSET or delta.forgotten is None:
             return
-        held = self._offered.table if self._offered else self.table
-        applied = deltas.apply_delta(held, delta).value_or(None)
-        if applied is None or applied.table.offset <= held.offset:
+        current = self._peer_table.table if self._peer_table else self.table
+        applied = deltas.apply_delta(current, delta).value_or(None)
+        if applied is None or applied.table.offset <= current.offset:
             return
-        self._note(applied.findings)
+        self._record_findings(applied.findings)
         if self.ready.is_set():
             self._adopt(applied.table, confirmed_at, 'peer')
             return
-        if self._offered is None:
-            self._offered_at = now
-        self._offered = applied
-        self._offered_confirmed_at = confirmed_at
+        if self._peer_table is None:
+            self._first_peer_table_at = now
+        self._peer_table = applied
+        self._peer_confirmed_at = confirmed_at
 
     def _watch(self, follower: gevent.Greenlet) -> None:
         # A connection to the log can go silent, and a read then takes its
         # whole timeout; peers must be asked before that.
         while not follower.dead:
             self._ask_peers_if_needed()
-            gevent.sleep(WATCH_S)
+            gevent.sleep(WATCH_INTERVAL_S)
 
     def _load_until_done(self) -> None:
         while True:
             if self._load():
                 return
-            self._take_offer()
-            self._pause()
+            self._use_peer_table()
+            self._back_off()
             if self.ready.is_set():
                 return
 
@@ -218,8 +219,8 @@
         loaded = loading.unwrap()
         self._log_state = LOG_UP
         self._retry_s = RETRY_MIN_S
-        self._next = loaded.next_offset
-        self._note(loaded.findings)
+        self._next_offset = loaded.next_offset
+        self._record_findings(loaded.findings)
         self._snapshots = snapshots.initial_state(
             loaded.snapshot_as_of,
             loaded.edits,
@@ -237,19 +238,19 @@
         self._adopt(loaded.table, sent_at, 'log')
         return True
 
-    def _take_offer(self) -> None:
-        if self._offered is None or self.ready.is_set():
+    def _use_peer_table(self) -> None:
+        if self._peer_table is None or self.ready.is_set():
             return
-        if self._clock() - self._offered_at < GATHER_S:
+        if self._clock() - self._first_peer_table_at < PEER_TABLES_WAIT_S:
             return
-        table = self._offered.table
-        self._offered = None
+        table = self._peer_table.table
+        self._peer_table = None
         # Nothing is known of the snapshots in the log; any that has rows
         # counts as newer than this.
         self._snapshots = snapshots.initial_state(
             0, 0, self._clock(), self._retention_s, self._rng
         )
-        self._adopt(table, self._offered_confirmed_at, 'peer')
+        self._adopt(table, self._peer_confirmed_at, 'peer')
 
     def _adopt(self, table: Table, confirmed_at: float, source: str) -> None:
         self._confirmed_at = max(self._confirmed_at, confirmed_at)
@@ -264,13 +265,13 @@
         self._publish(table)
 
     def _on_batch(self, batch: Batch, sent_at: float) -> None:
-        if self._log_state != LOG_UP and not self._log_is_back():
+        if self._log_state != LOG_UP and not self._check_recovered_log():
             return
-        self._next = max(self._next, batch.next_offset)
+        self._next_offset = max(self._next_offset, batch.next_offset)
         old = self.table
         reduced = reducer.apply_all(old, batch.records)
-        self._note(reduced.findings)
-        self._note_snapshots(batch)
+        self._record_findings(reduced.findings)
+        self._update_snapshots(batch)
         # The answer may be old by the time it is read, if this process was
         # paused in between; the time of asking is what it is good for.
         if table_log.is_up_to_date(len(batch.records)):
@@ -287,7 +288,7 @@
                 self._publish(self.table)
         self._write_snapshot_if_due()
 
-    def _log_is_back(self) -> bool:
+    def _check_recovered_log(self) -> bool:
         """Check a log that answers again; False if it lacks what we read.
 
         A log that was restored from an older copy gives offsets out a second
@@ -297,11 +298,11 @@
         asked = self._log.extent(table_log.STREAM)
         if isinstance(asked, Failure):
             self._log_failed(asked.failure())
-            self._pause()
+            self._back_off()
             return False
         if asked.unwrap().next_offset <= self.table.offset:
             self._log_failed(WentBack(asked.unwrap().next_offset))
-            self._pause()
+            self._back_off()
             return False
         self._log_state = LOG_UP
         self._retry_s = RETRY_MIN_S
@@ -320,7 +321,7 @@
             if self._load():
                 return
         self._log_failed(error)
-        self._pause()
+        self._back_off()
 
     def _log_failed(self, error: object) -> None:
         state = repr(error)
@@ -332,22 +333,24 @@
         now = self._clock()
         if self.ready.is_set() and self.age_s() < ASK_PEERS_AGE_S:
             return
-        if now - self._asked_at < ASK_PEERS_EVERY_S:
+        if now - self._asked_at < ASK_PEERS_INTERVAL_S:
             return
         self._asked_at = now
-        held = self.table.offset if self.ready.is_set() else NO_OFFSET
-        self._ask_peers(held)
+        current = self.table.offset if self.ready.is_set() else NO_OFFSET
+        self._ask_peers(current)
 
-    def _pause(self) -> None:
+    def _back_off(self) -> None:
         gevent.sleep(self._retry_s * self._rng.uniform(0.5, 1.0))
         self._retry_s = min(RETRY_MAX_S, self._retry_s * 2)
 
-    def _note(self, found: list[Finding] | tuple[Finding, ...]) -> None:
+    def _record_findings(
+        self, found: list[Finding] | tuple[Finding, ...]
+    ) -> None:
         for finding in found:
             logs.warn('table_finding', place=finding.place, text=finding.text)
-        self._findings = [*self._findings, *found][-KEPT_FINDINGS:]
+        self._findings = [*self._findings, *found][-MAX_FINDINGS:]
 
-    def _note_snapshots(self, batch: Batch) -> None:
+    def _update_snapshots(self, batch: Batch) -> None:
         now = self._clock()
         for record in batch.records:
             as_of = NO_OFFSET
@@ -363,13 +366,15 @@
                 )
 
     def _write_snapshot_if_due(self) -> None:
-        if self._writing and not self._writing.ready():
+        if self._snapshot_writer and not self._snapshot_writer.ready():
             return
         now = self._clock()
         if snapshots.is_due(self._snapshots, self.table.offset, now):
             # Its own greenlet, since a large append must not hold up the
             # reading of edits.
-            self._writing = gevent.spawn(self._write_snapshot, self.table)
+            self._snapshot_writer = gevent.spawn(
+                self._write_snapshot, self.table
+            )
 
     def _write_snapshot(self, table: Table) -> None:
         text = records.serialize(records.SnapshotRecord(table))
@@ -394,12 +399,12 @@
             self._rng,
         )
 
-    def _aged(self, delta: messages.TableDelta) -> messages.TableDelta:
+    def _with_age(self, delta: messages.TableDelta) -> messages.TableDelta:
         delta.age_ms = int(min(self.age_s() * 1000, MAX_AGE_MS))
         return delta
 
 
-def _measure(task: TableTask) -> None:
+def _register_gauges(task: TableTask) -> None:
     def observe_age(
         _options: otel.CallbackOptions,
     ) -> list[otel.Observation]:
--- a/packages/burdockchute-entry/tests/test_claims_task.py
+++ b/packages/burdockchute-entry/tests/test_claims_task.py
@@ -44,7 +44,7 @@
             patch = mock.patch.object(claims_task, name, value)
             patch.start()
             self.addCleanup(patch.stop)
-        patch = mock.patch.object(claim_collector, 'UNSURE_S', 0.1)
+        patch = mock.patch.object(claim_collector, 'LOST_REPLY_WAIT_S', 0.1)
         patch.start()
         self.addCleanup(patch.stop)
         self.log = FakeLog()
@@ -99,8 +99,8 @@
     def test_one_of_two_entries_wins(self):
         # A volunteer's tablet sends a dispatch again over the balancer,
         # which picks the other entry, while the first still works on it.
-        asked = [self.claim(name, self.request()) for name in NAMES]
-        verdicts = [replies.get(timeout=10).verdict for replies in asked]
+        pending = [self.claim(name, self.request()) for name in NAMES]
+        verdicts = [replies.get(timeout=10).verdict for replies in pending]
         kinds = sorted(type(verdict).__name__ for verdict in verdicts)
         self.assertEqual(['Held', 'Won'], kinds)
 
@@ -176,10 +176,10 @@
         # Each entry sees only itself in the lagging instance list.
         for name in NAMES:
             self.tasks[name].inbox.put(MembersChanged((member(name),)))
-        asked = [
+        pending = [
             self.claim(name, self.request()) for name in NAMES for _ in 'ab'
         ]
-        verdicts = [replies.get(timeout=10).verdict for replies in asked]
+        verdicts = [replies.get(timeout=10).verdict for replies in pending]
         won = [v for v in verdicts if isinstance(v, claims.Won)]
         self.assertEqual(1, len(won))
 
@@ -207,11 +207,11 @@
         self.assertEqual(0, self.log.appends)
 
     def test_many_claims_share_an_append(self):
-        asked = []
+        pending = []
         for number in range(300):
             self.key = f'{int(time.time())}-{number}'
-            asked.append(self.claim('one', self.request()))
-        for replies in asked:
+            pending.append(self.claim('one', self.request()))
+        for replies in pending:
             verdict = replies.get(timeout=10).verdict
             self.assertIsInstance(verdict, claims.Won)
         self.assertLess(self.log.appends, 100)
--- a/packages/burdockchute-entry/tests/test_crashes.py
+++ b/packages/burdockchute-entry/tests/test_crashes.py
@@ -155,7 +155,7 @@
     def start(self, log):
         learned: queue.Queue = queue.Queue()
         task = CrashesTask(log, learned.put, lambda: 0.0, lambda: 1000.0)
-        for loop in (task.run, task.read_for_ever):
+        for loop in (task.run, task.read_forever):
             self.addCleanup(gevent.spawn(loop).kill)
         return task, learned
 
--- a/packages/burdockchute-entry/tests/test_limits_task.py
+++ b/packages/burdockchute-entry/tests/test_limits_task.py
@@ -11,7 +11,7 @@
 from burdockchute.model.members import Member
 from burdockchute.model.members import Place
 from burdockchute.nodes import links
-from burdockchute_entry.limits_task import DemandSeen
+from burdockchute_entry.limits_task import DemandMeasured
 from burdockchute_entry.limits_task import LimitsTask
 from burdockchute_testing.builders import requests
 
@@ -50,7 +50,7 @@
         self.now += 1.0
         for name, per_s in demands.items():
             demand = Demand(float(per_s), per_s * 100.0)
-            self.tasks[name].handle(DemandSeen({'lindwurm': demand}))
+            self.tasks[name].handle(DemandMeasured({'lindwurm': demand}))
         for task in self.tasks.values():
             task.tick()
 
@@ -66,7 +66,7 @@
     def test_entry_that_is_cut_off_loses_its_share(self):
         self.second(one=100, two=100)
         self.assertEqual(15.0, self.share('one'))
-        answers = [n for n in NAMES if self.tasks[n]._told]
+        answers = [n for n in NAMES if self.tasks[n]._reported]
         away = next(n for n in ('one', 'two') if n not in answers)
         self.cut = {away}
         for _ in range(8):
--- a/packages/burdockchute-entry/tests/test_links_subset.py
+++ b/packages/burdockchute-entry/tests/test_links_subset.py
@@ -46,7 +46,7 @@
         for target, name, value in (
             (subset, 'FULL_MESH_AGENTS', 0),
             (subset, 'MIN_HOSTS', 0),
-            (links_task, 'SURPLUS_S', 0.0),
+            (links_task, 'SURPLUS_KEPT_S', 0.0),
         ):
             patch = mock.patch.object(target, name, value)
             patch.start()
@@ -63,7 +63,7 @@
                 lambda offset: deltas.full_table(TABLE),
                 lambda offset: None,
             ),
-            links_task.Handing(
+            links_task.LinkHandlers(
                 lambda event: None, {}, lambda name: name in self.in_use
             ),
             random.Random(1),
@@ -158,7 +158,7 @@
                 lambda offset: deltas.full_table(TABLE),
                 lambda offset: None,
             ),
-            links_task.Handing(
+            links_task.LinkHandlers(
                 lambda event: (
                     opened.append(event.link)
                     if isinstance(event, links.Opened)
--- a/packages/burdockchute-entry/tests/test_table_task.py
+++ b/packages/burdockchute-entry/tests/test_table_task.py
@@ -34,7 +34,7 @@
             3600.0,
             rng=random.Random(1),
             clock=lambda: gevent.get_hub().loop.now() + self.lag_s,
-            wait_s=0.05,
+            poll_timeout_s=0.05,
             **options,
         )
         running = gevent.spawn(task.run)
@@ -78,7 +78,7 @@
         self.wait_for(lambda: len(published) == 2)
         self.wait_for(lambda: task.age_s() < 1)
 
-    @mock.patch.object(table_task, 'GATHER_S', 10)
+    @mock.patch.object(table_task, 'PEER_TABLES_WAIT_S', 10)
     @mock.patch.object(table_task, 'RETRY_MAX_S', 0.2)
     def test_start_in_an_outage_takes_the_highest_table_of_its_peers(self):
         # A fresh entry has nothing. Were it ready with no table, it would
@@ -91,12 +91,12 @@
         task, published = self.task(ask_peers=asked.append)
         self.wait_for(lambda: asked)
         self.assertFalse(task.ready.is_set())
-        task.take(over_the_wire(peers[0], age_ms=9000))
+        task.apply_peer_table(over_the_wire(peers[0], age_ms=9000))
         tries = self.log.reads
         self.wait_for(lambda: self.log.reads == tries + 2)
         self.assertFalse(task.ready.is_set())
-        task.take(over_the_wire(peers[1], age_ms=9000))
-        task.take(over_the_wire(peers[0], age_ms=9000))
+        task.apply_peer_table(over_the_wire(peers[1], age_ms=9000))
+        task.apply_peer_table(over_the_wire(peers[0], age_ms=9000))
         self.lag_s = 10
         self.wait_for(task.ready.is_set)
         self.assertEqual([peers[1]], published)
@@ -109,7 +109,7 @@
         self.log.append('table', text).unwrap()
         self.log.down = True
         task, _published = self.task()
-        task.take(over_the_wire(table))
+        task.apply_peer_table(over_the_wire(table))
         self.wait_for(task.ready.is_set)
         self.log.down = False
         # A second copy must still be known as such.
@@ -130,7 +130,7 @@
         self.lag_s = 30
         self.wait_for(lambda: asked == [0])
         newer = tables.table_of(tables.model(), tables.service())
-        task.take(over_the_wire(newer, age_ms=10))
+        task.apply_peer_table(over_the_wire(newer, age_ms=10))
         self.assertEqual(newer, published[-1])
         self.assertLess(task.age_s(), 1)
 
@@ -147,7 +147,7 @@
         self.lag_s = table_task.ASK_PEERS_AGE_S
         self.wait_for(lambda: asked == [0])
         newer = tables.table_of(tables.model(), tables.service())
-        task.take(over_the_wire(newer))
+        task.apply_peer_table(over_the_wire(newer))
         self.assertEqual(newer, published[-1])
 
     def test_idle_log_sets_no_entry_asking(self):
@@ -165,7 +165,7 @@
         confirmed_at = task._clock() - task.age_s()
         for age_s, is_asking in ((4.1, False), (5.1, True)):
             task._clock = lambda age_s=age_s: confirmed_at + age_s
-            gevent.sleep(3 * table_task.WATCH_S)
+            gevent.sleep(3 * table_task.WATCH_INTERVAL_S)
             with self.subTest(age_s):
                 self.assertEqual(is_asking, bool(asked))
 
