--- a/packages/burdockchute/burdockchute/decisions/fair_queue.py
+++ b/packages/burdockchute/burdockchute/decisions/fair_queue.py
@@ -98,7 +98,7 @@
         return refused
 
     def put_back(self, item: QueuedRequest) -> None:
-        """Requeue a popped request that did not start, at its old place."""
+        """Requeue a request that did not start, at its old position."""
         customer = item.ctx.customer
         self._virtual_finish[customer] = (
             self._virtual_finish.get(customer, 0.0) - item.cost
--- a/packages/burdockchute/burdockchute/decisions/wait_limits.py
+++ b/packages/burdockchute/burdockchute/decisions/wait_limits.py
@@ -74,7 +74,7 @@
 
 
 class Opening(NamedTuple):
-    """When closed engines open, and how many slots that gives.
+    """When closed engines open, and how many slots they then offer.
 
     `in_s` is the time until the first of them opens, None if none is known to;
     `slots` is the share of one entry.
--- a/packages/burdockchute/tests/decisions/test_engine_placement.py
+++ b/packages/burdockchute/tests/decisions/test_engine_placement.py
@@ -1,4 +1,4 @@
-"""Placement on engines, replayed for the loads that it answers."""
+"""Placement on engines under the loads that it is designed for."""
 
 from __future__ import annotations
 
--- a/packages/burdockchute/tests/decisions/test_placement.py
+++ b/packages/burdockchute/tests/decisions/test_placement.py
@@ -1,4 +1,4 @@
-"""Which instance a request goes to."""
+"""On which instance a request is placed."""
 
 from __future__ import annotations
 
