--- a/packages/burdockchute/burdockchute/decisions/admission.py
+++ b/packages/burdockchute/burdockchute/decisions/admission.py
@@ -70,7 +70,7 @@
     >>> rate = RateLimit(requests_per_s=1, tokens_per_s=100, burst_s=2)
     >>> bucket, wait_s = take(full_bucket(rate, 0.0), rate, 50, 0.0)
     >>> (bucket.requests, bucket.tokens, wait_s)
-    (1.0, 150.0, 0.0)
+    (1.0, 150, 0.0)
     """
     filled = _fill(bucket, rate, now)
     capacity = _capacity(rate)
--- a/packages/burdockchute/burdockchute/decisions/returning_callers.py
+++ b/packages/burdockchute/burdockchute/decisions/returning_callers.py
@@ -31,7 +31,7 @@
 def min_return_delay_s(left_s: float) -> float:
     """Return the shortest delay after which a retry is recognised as one.
 
-    >>> min_return_delay_s(6.0)
+    >>> round(min_return_delay_s(6.0), 2)
     1.26
     """
     return (DEADLINE_SPREAD + TRANSIT_MARGIN) * left_s
