--- a/packages/burdockchute-agent/burdockchute_agent/staged/app.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/app.py
@@ -23,8 +23,8 @@
 from burdockchute.model.known_state import KnownState
 from burdockchute.model.machines import Machine
 from burdockchute.nodes import links
-from burdockchute.nodes.wishes_news import heard_of
-from burdockchute.nodes.wishes_news import needs_heard
+from burdockchute.nodes.desired_state import decode_requirements
+from burdockchute.nodes.desired_state import decode_versions
 from burdockchute.site_settings import SiteSettings
 from burdockchute.wire import messages
 from burdockchute_agent.staged.reports_task import ReportsTask
@@ -168,11 +168,11 @@
     def _update_desired_state(
         self, link: links.Link, news: messages.WishesNews, now: float
     ) -> None:
-        requirements = needs_heard(news.needs)
+        requirements = decode_requirements(news.needs)
         self._desired_state_sources.update(
             link, news.in_contact and requirements is not None, now
         )
-        self.follower.hear(heard_of(news.named, now))
+        self.follower.hear(decode_versions(news.named, now))
         if requirements is not None:
             self.follower.hear_needs(requirements)
 
--- a/packages/burdockchute-agent/burdockchute_agent/staged/reports_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/reports_task.py
@@ -12,7 +12,7 @@
 from burdockchute.decisions.versions import History
 from burdockchute.model.known_state import KnownState
 from burdockchute.nodes import links
-from burdockchute.nodes.wishes_news import news_of
+from burdockchute.nodes.desired_state import encode_versions
 from burdockchute.wire import messages
 from burdockchute_agent.staged.origins import copy_name
 from burdockchute_agent.staged.staged_task import StagedTask
@@ -63,7 +63,7 @@
         self.entries[link] = None
         report = self.current_report()
         known_state = self._known_state()
-        report.named = news_of(known_state.histories, time.monotonic())
+        report.named = encode_versions(known_state.histories, time.monotonic())
         report.configuration = known_state.newest_configuration_version()
         self._send_frame(link, links.frame_of(report))
 
@@ -140,7 +140,7 @@
             # The stored report has no version ages: they grow constantly and
             # must not count as changes.
             current = copy.copy(current)
-            current.named = news_of(histories, now)
+            current.named = encode_versions(histories, now)
         frame = links.frame_of(current)
         for link in list(self.entries):
             self._send_frame(link, frame)
--- a/packages/burdockchute-agent/burdockchute_agent/staged/staged_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/staged_task.py
@@ -30,7 +30,7 @@
 from burdockchute.model.known_state import KnownState
 from burdockchute.model.machines import Machine
 from burdockchute.model.members import Member
-from burdockchute.nodes.agents import agent_beside
+from burdockchute.nodes.agents import colocated_agent
 from burdockchute.nodes.peers import Peers
 from burdockchute.weights.copies import Copy
 from burdockchute.weights.manifest import parse_named
@@ -394,7 +394,7 @@
     def _service_agents(self, known_state: KnownState) -> list[Member]:
         machine = self._machine
         return [
-            agent_beside(upstream, machine.link_ports[0], machine.regions)
+            colocated_agent(upstream, machine.link_ports[0], machine.regions)
             for upstream in known_state.present_upstreams()
             if upstream.service == machine.service
         ]
--- a/packages/burdockchute-entry/burdockchute_entry/straight/agents_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/agents_task.py
@@ -28,12 +28,12 @@
 from burdockchute.model.link_events import ProbeReturned
 from burdockchute.model.members import Member
 from burdockchute.nodes import links
-from burdockchute.nodes.agents import agent_beside
+from burdockchute.nodes.agents import colocated_agent
+from burdockchute.nodes.desired_state import encode_requirements
+from burdockchute.nodes.desired_state import encode_versions
 from burdockchute.nodes.peers import Dialled
 from burdockchute.nodes.peers import PeerLink
 from burdockchute.nodes.peers import Peers
-from burdockchute.nodes.wishes_news import needs_news
-from burdockchute.nodes.wishes_news import news_of
 from burdockchute.wire import messages
 
 # Interval between checks for lost links; redials wait longer than this.
@@ -63,7 +63,7 @@
         service = services.get(upstream.service)
         if service is None or not service.models:
             continue
-        agent = agent_beside(upstream, link_port, {})
+        agent = colocated_agent(upstream, link_port, {})
         found[agent.name] = agent
     return found
 
@@ -209,10 +209,12 @@
             agent_requirements.configuration if agent_requirements else 0
         )
         self._last_sent[peer.name] = state
-        named = news_of(state.histories, time.monotonic())
+        named = encode_versions(state.histories, time.monotonic())
         peer.send(
             messages.WishesNews(
-                named, needs_news(agent_requirements), state.in_contact
+                named,
+                encode_requirements(agent_requirements),
+                state.in_contact,
             )
         )
 
--- a/packages/burdockchute-entry/burdockchute_entry/straight/app.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/app.py
@@ -28,7 +28,7 @@
 from burdockchute.model.known_state import KnownState
 from burdockchute.model.machines import Machine
 from burdockchute.model.members import Member
-from burdockchute.nodes.wishes_news import heard_of
+from burdockchute.nodes.desired_state import decode_versions
 from burdockchute.site_settings import SiteSettings
 from burdockchute.wire import messages
 from burdockchute_entry.straight.agents_task import AgentsTask
@@ -225,7 +225,7 @@
         self, address: str, report: messages.LoadReport
     ) -> None:
         if report.named:
-            self.follower.hear(heard_of(report.named, time.monotonic()))
+            self.follower.hear(decode_versions(report.named, time.monotonic()))
         if report.configuration is not None:
             self.follower.hear_configuration(report.configuration)
         self.scheduler.apply_load_report(address, report)
--- a/packages/burdockchute/burdockchute/nodes/agents.py
+++ b/packages/burdockchute/burdockchute/nodes/agents.py
@@ -9,7 +9,7 @@
 from burdockchute.model.upstreams import Upstream
 
 
-def agent_beside(
+def colocated_agent(
     upstream: Upstream, link_port: int, regions: Mapping[str, str]
 ) -> Member:
     """Give the agent of an upstream, which goes by the upstream's address.
--- a/packages/burdockchute/burdockchute/nodes/wishes_news.py
+++ b/packages/burdockchute/burdockchute/nodes/desired_state.py
@@ -25,7 +25,7 @@
 UNKNOWN = -1
 
 
-def news_of(
+def encode_versions(
     histories: Mapping[str, History], now: float
 ) -> list[messages.NamedVersion]:
     """Give what to tell of the versions that were named.
@@ -46,7 +46,7 @@
     ]
 
 
-def heard_of(
+def decode_versions(
     news: Sequence[messages.NamedVersion], now: float
 ) -> list[PeerReport]:
     """Give what was told, in this process's own time."""
@@ -60,7 +60,9 @@
     ]
 
 
-def needs_news(needs: AgentRequirements | None) -> messages.AgentNeeds | None:
+def encode_requirements(
+    needs: AgentRequirements | None,
+) -> messages.AgentNeeds | None:
     """Give what to tell of an agent's needs.
 
     >>> needs_news(AgentRequirements(7, ('story',), 4, '10.0.0.1:80')).models
@@ -73,7 +75,9 @@
     )
 
 
-def needs_heard(news: messages.AgentNeeds | None) -> AgentRequirements | None:
+def decode_requirements(
+    news: messages.AgentNeeds | None,
+) -> AgentRequirements | None:
     """Give the needs that were told, None where the other knows none."""
     if news is None:
         return None
