--- a/packages/burdockchute-agent/burdockchute_agent/chunk_receiver.py
+++ b/packages/burdockchute-agent/burdockchute_agent/chunk_receiver.py
@@ -68,7 +68,7 @@
     def _have_came(
         self, peer: PeerLink, have: messages.Have, now: float
     ) -> None:
-        peer.keep(have)
+        peer.record_have(have)
         copier = self._copiers.get(have.digest)
         if (
             copier is None
--- a/packages/burdockchute-agent/burdockchute_agent/copy_manager.py
+++ b/packages/burdockchute-agent/burdockchute_agent/copy_manager.py
@@ -20,7 +20,7 @@
 from burdockchute.logs import event
 from burdockchute.model.members import Member
 from burdockchute.nodes import links
-from burdockchute.nodes.peers import Dialled
+from burdockchute.nodes.peers import DialResult
 from burdockchute.nodes.peers import Peers
 from burdockchute.weights.copies import Copy
 from burdockchute.weights.manifest import Manifest
@@ -272,19 +272,19 @@
                 self._receiver.manifest_read(digest, outcome, now)
             case OriginRead():
                 self._receiver.origin_chunk_read(message, now)
-            case Dialled():
-                self._peers.dialled(message, now)
+            case DialResult():
+                self._peers.on_dialled(message, now)
             case links.Opened(link=link):
                 self._link_opened(link)
             case links.Closed(link=link):
                 self._link_closed(link)
             case links.Received(link=link, message=received):
-                peer = self._peers.of(link)
+                peer = self._peers.find_by_link(link)
                 if peer is not None:
                     self._receiver.handle_message(peer, received, now)
 
     def _link_opened(self, link: links.Link) -> None:
-        peer = self._peers.opened(link)
+        peer = self._peers.on_opened(link)
         if peer is not None:
             if self._paced:
                 link.pace(self._pace)
@@ -295,7 +295,7 @@
         return self._bandwidth.reserve_uplink(size, time.monotonic())
 
     def _link_closed(self, link: links.Link) -> None:
-        name = self._peers.closed(link)
+        name = self._peers.on_closed(link)
         if name is not None:
             self._sender.remove_peer(name)
             for copier in self._copiers.values():
@@ -319,7 +319,7 @@
                 continue
             if copier.schedule.resumed_after_stall:
                 copier.schedule.resumed_after_stall = False
-                self._peers.dial_again()
+                self._peers.reset_backoff()
             copier.set_expected_peers(self._expected_peers(copier.digest))
             if copier.copy is not None and digest in self.awaiting_local_scan:
                 continue
--- a/packages/burdockchute-agent/burdockchute_agent/staged/staged_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/staged_task.py
@@ -413,7 +413,7 @@
             self._own,
             tuple(members.values()),
         )
-        self._peers.want({name: members[name] for name in chosen})
+        self._peers.set_wanted({name: members[name] for name in chosen})
 
     # The origin and the staging area.
 
--- a/packages/burdockchute-agent/burdockchute_agent/weights_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/weights_task.py
@@ -212,7 +212,7 @@
             switch.set_target(
                 plan.targets.get(row), plan.predecessors.get(row)
             )
-        self._peers.want(plan.peers)
+        self._peers.set_wanted(plan.peers)
         self._copies.set_targets(
             list(plan.targets.values()), plan.hosts, time.monotonic()
         )
--- a/packages/burdockchute-entry/burdockchute_entry/straight/agents_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/agents_task.py
@@ -31,7 +31,7 @@
 from burdockchute.nodes.agents import colocated_agent
 from burdockchute.nodes.desired_state import encode_requirements
 from burdockchute.nodes.desired_state import encode_versions
-from burdockchute.nodes.peers import Dialled
+from burdockchute.nodes.peers import DialResult
 from burdockchute.nodes.peers import PeerLink
 from burdockchute.nodes.peers import Peers
 from burdockchute.wire import messages
@@ -133,19 +133,21 @@
                     str(upstream.endpoint): upstream.service
                     for upstream in message.present_upstreams()
                 }
-                self._peers.want(agents_by_address(message, self._link_port))
+                self._peers.set_wanted(
+                    agents_by_address(message, self._link_port)
+                )
                 self._send_to_all()
                 self._tick()
-            case Dialled():
-                self._peers.dialled(message, time.monotonic())
+            case DialResult():
+                self._peers.on_dialled(message, time.monotonic())
             case links.Opened(link=link):
-                peer = self._peers.opened(link)
+                peer = self._peers.on_opened(link)
                 if peer is not None:
                     self._last_sent.pop(peer.name, None)
                     self._send_desired_state(peer)
                 logs.event('agent_linked', agent=link.peer.name)
             case links.Closed(link=link, reason=reason):
-                if self._peers.closed(link) is not None:
+                if self._peers.on_closed(link) is not None:
                     self._last_sent.pop(link.peer.name, None)
                     self._on_link_event(LinkLost(link.peer.name))
                     logs.warn(
@@ -168,7 +170,7 @@
                     PeerCrashReport(_crash_report(message.message), age_s=0.0)
                 )
             case links.Received(link=link, message=messages.LoadReport()):
-                if self._peers.of(link) is not None:
+                if self._peers.find_by_link(link) is not None:
                     self._on_load_report(link.peer.name, message.message)
 
     def _probe(self, request: ProbeRequested) -> None:
--- a/packages/burdockchute/burdockchute/nodes/peers.py
+++ b/packages/burdockchute/burdockchute/nodes/peers.py
@@ -21,10 +21,10 @@
 MAX_REDIAL_S = 5.0
 # News of weights that this instance doesn't host yet is kept, as a table may
 # reach a peer first; for so many digests of each peer.
-KEPT_HAVES = 16
+MAX_KEPT_HAVES = 16
 
 
-class Dialled(NamedTuple):
+class DialResult(NamedTuple):
     """An attempt to open a link to a peer has ended."""
 
     name: str
@@ -49,11 +49,11 @@
             return False
         return True
 
-    def keep(self, have: messages.Have) -> None:
+    def record_have(self, have: messages.Have) -> None:
         """Remember the newest news of a digest."""
         self.haves.pop(have.digest, None)
         self.haves[have.digest] = have
-        while len(self.haves) > KEPT_HAVES:
+        while len(self.haves) > MAX_KEPT_HAVES:
             self.haves.popitem(last=False)
 
 
@@ -83,7 +83,7 @@
         self._redials: dict[str, _Redial] = {}
         self._dialled: set[links.Link] = set()
 
-    def want(self, wanted: Mapping[str, Member]) -> None:
+    def set_wanted(self, wanted: Mapping[str, Member]) -> None:
         """Say with whom a link is wanted; others may still dial us.
 
         For each of them that is not linked yet, a link that is not wanted
@@ -106,13 +106,13 @@
             if redial.failures and name not in self.links
         )
 
-    def dial_again(self) -> None:
+    def reset_backoff(self) -> None:
         """Forget earlier failures and dial everyone who is wanted now."""
         for redial in self._redials.values():
             redial.failures = 0
             redial.not_before = 0.0
 
-    def opened(self, link: links.Link) -> PeerLink | None:
+    def on_opened(self, link: links.Link) -> PeerLink | None:
         """Take a new link; None if it is the second to the same process."""
         peer = PeerLink(link, self._own.place)
         known = self.links.get(peer.name)
@@ -125,7 +125,7 @@
         self.links[peer.name] = peer
         return peer
 
-    def closed(self, link: links.Link) -> str | None:
+    def on_closed(self, link: links.Link) -> str | None:
         """Forget a link; its peer's name if no other link is left to it."""
         self._dialled.discard(link)
         known = self.links.get(link.peer.name)
@@ -134,12 +134,12 @@
         del self.links[link.peer.name]
         return known.name
 
-    def of(self, link: links.Link) -> PeerLink | None:
+    def find_by_link(self, link: links.Link) -> PeerLink | None:
         """Give what is kept of an open link."""
         known = self.links.get(link.peer.name)
         return known if known is not None and known.link is link else None
 
-    def dialled(self, ended: Dialled, now: float) -> None:
+    def on_dialled(self, ended: DialResult, now: float) -> None:
         """Note how an attempt to dial ended."""
         redial = self._redials.get(ended.name)
         if redial is None:
@@ -191,10 +191,10 @@
                 lambda: hello.table_offset,
             )
         except links.LinkError:
-            self._inbox.put(Dialled(member.name, None))
+            self._inbox.put(DialResult(member.name, None))
             return
         self._dialled.add(link)
-        self._inbox.put(Dialled(member.name, link))
+        self._inbox.put(DialResult(member.name, link))
 
     def _goes_first(self, link: links.Link, known: links.Link) -> bool:
         ours = link in self._dialled
--- a/packages/burdockchute/tests/test_peers.py
+++ b/packages/burdockchute/tests/test_peers.py
@@ -12,7 +12,7 @@
 from burdockchute.model.members import Member
 from burdockchute.model.members import Place
 from burdockchute.nodes import links
-from burdockchute.nodes.peers import Dialled
+from burdockchute.nodes.peers import DialResult
 from burdockchute.nodes.peers import Peers
 from burdockchute.wire import messages
 
@@ -42,7 +42,7 @@
         return Member(name, 'agent', '127.0.0.1', listening.server_port, PLACE)
 
     def want(self, *members: Member) -> None:
-        self.peers.want({member.name: member for member in members})
+        self.peers.set_wanted({member.name: member for member in members})
 
     def run_for(self, seconds: float) -> None:
         """Dial what is due and take what comes of it."""
@@ -53,12 +53,12 @@
 
     def take(self, event: Any) -> None:
         match event:
-            case Dialled():
-                self.peers.dialled(event, self.now)
+            case DialResult():
+                self.peers.on_dialled(event, self.now)
             case links.Opened(link=link):
-                self.peers.opened(link)
+                self.peers.on_opened(link)
             case links.Closed(link=link):
-                self.peers.closed(link)
+                self.peers.on_closed(link)
 
     def test_link_stays_until_the_one_in_its_place_has_opened(self):
         """A list names other engines, which do not answer yet.
@@ -74,7 +74,7 @@
         self.run_for(0.2)
         self.assertEqual({'a'}, set(self.peers.links))
         self.want(second)
-        self.peers.dial_again()
+        self.peers.reset_backoff()
         self.run_for(0.2)
         self.assertEqual({'b'}, set(self.peers.links))
 
