--- a/packages/burdockchute-agent/burdockchute_agent/staged/reports_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/reports_task.py
@@ -65,7 +65,7 @@
         known_state = self._known_state()
         report.named = encode_versions(known_state.histories, time.monotonic())
         report.configuration = known_state.newest_configuration_version()
-        self._send_frame(link, links.frame_of(report))
+        self._send_frame(link, links.encode_frame(report))
 
     def closed(self, link: links.Link) -> None:
         """Remove a link."""
@@ -75,13 +75,13 @@
         self, link: links.Link, probe: messages.LinkProbe
     ) -> None:
         """Send an entry's probe of its link back unchanged."""
-        self._send_frame(link, links.frame_of(probe))
+        self._send_frame(link, links.encode_frame(probe))
 
     def forward(
         self, link: links.Link, event: messages.CrashNews | messages.LinkNews
     ) -> None:
         """Forward an event from one entry to all others."""
-        frame = links.frame_of(event)
+        frame = links.encode_frame(event)
         for other in list(self.entries):
             if other is not link:
                 self._send_frame(other, frame)
@@ -141,7 +141,7 @@
             # must not count as changes.
             current = copy.copy(current)
             current.named = encode_versions(histories, now)
-        frame = links.frame_of(current)
+        frame = links.encode_frame(current)
         for link in list(self.entries):
             self._send_frame(link, frame)
 
--- a/packages/burdockchute-agent/tests/test_staged_reports.py
+++ b/packages/burdockchute-agent/tests/test_staged_reports.py
@@ -44,7 +44,9 @@
         clock.start()
         self.addCleanup(clock.stop)
         # Frames are the messages themselves, so that tests can inspect them.
-        frames = mock.patch.object(links, 'frame_of', lambda message: message)
+        frames = mock.patch.object(
+            links, 'encode_frame', lambda message: message
+        )
         frames.start()
         self.addCleanup(frames.stop)
         self.histories = {}
--- a/packages/burdockchute-entry/burdockchute_entry/links_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/links_task.py
@@ -220,7 +220,7 @@
             True,
             removed,
         )
-        frame = links.frame_of(message)
+        frame = links.encode_frame(message)
         for link in self.agent_links():
             self._send_frame(link, frame)
 
@@ -388,7 +388,7 @@
             sent = self._sent_offset.get(link, tables.NO_OFFSET)
             if sent not in frames:
                 delta = self._table.delta_for(sent)
-                frames[sent] = links.frame_of(delta)
+                frames[sent] = links.encode_frame(delta)
             self._sent_offset[link] = max(sent, self._table.offset())
             self._send_frame(link, frames[sent])
 
@@ -398,7 +398,7 @@
         if self._complete_frame_members is not self.members:
             agents = list(instance_polling.agents_on_wire(self.members))
             message = messages.Members(agents, self._members_sent)
-            self._complete_frame = links.frame_of(message)
+            self._complete_frame = links.encode_frame(message)
             self._complete_frame_members = self.members
         return self._complete_frame
 
@@ -406,7 +406,7 @@
         return next((m for m in self.members if m.name == name), None)
 
     def _send(self, link: links.Link, message: Any) -> None:
-        self._send_frame(link, links.frame_of(message))
+        self._send_frame(link, links.encode_frame(message))
 
     def _send_frame(self, link: links.Link, frame: bytes) -> None:
         try:
--- a/packages/burdockchute-entry/tests/test_links_subset.py
+++ b/packages/burdockchute-entry/tests/test_links_subset.py
@@ -195,7 +195,7 @@
         self._server.stop(timeout=0)
 
     def _greet(self, sock: Any, _address: Any) -> None:
-        frame = links.frame_of(hello('a0', 'agent'))
+        frame = links.encode_frame(hello('a0', 'agent'))
         for part in (frame[:2], frame[2:]):
             gevent.sleep(0.8 * links.DIAL_TIMEOUT_S)
             sock.sendall(part)
--- a/packages/burdockchute/burdockchute/nodes/fragments.py
+++ b/packages/burdockchute/burdockchute/nodes/fragments.py
@@ -16,7 +16,7 @@
 Pace = Callable[[int], float]
 
 
-class Outgoing:
+class FragmentQueue:
     """The fragments that wait to be sent, oldest message first.
 
     `pace` is asked before each one: it counts the bytes and gives 0, or gives
@@ -61,7 +61,7 @@
         return self._waiting.popleft()
 
 
-class Incoming:
+class FragmentAssembler:
     """Puts the fragments of one message after the other together."""
 
     def __init__(self) -> None:
--- a/packages/burdockchute/burdockchute/nodes/links.py
+++ b/packages/burdockchute/burdockchute/nodes/links.py
@@ -38,7 +38,7 @@
 # Two heartbeats in SILENCE_S, and a second to spare for a stop of the
 # interpreter. Each costs both sides a wake-up, and an entry has 134 links.
 HEARTBEAT_S = 2.0
-SILENCE_S = 5.0
+SILENCE_TIMEOUT_S = 5.0
 DIAL_TIMEOUT_S = 2.0
 PROTOCOL = 1
 
@@ -101,14 +101,14 @@
     ) -> None:
         self.peer = peer
         self.closed_reason = ''
-        self.last_received = time.monotonic()
+        self.last_received_at = time.monotonic()
         self.bytes_sent = 0
         self.bytes_received = 0
         self._sock = sock
         self._inbox = inbox
         self._outbox: queue.Queue = queue.Queue()
-        self._large: fragments.Outgoing | None = None
-        self._incoming = fragments.Incoming()
+        self._large: fragments.FragmentQueue | None = None
+        self._incoming = fragments.FragmentAssembler()
         self._queued_bytes = 0
         self._offset: Callable[[], int] = lambda: -1
         self._sequence = 0
@@ -129,7 +129,7 @@
     def pace(self, pace: fragments.Pace) -> None:
         """Send what is large in fragments, if the other side takes them."""
         if self.peer.fragments:
-            self._large = fragments.Outgoing(pace)
+            self._large = fragments.FragmentQueue(pace)
 
     def is_slow(self, now: float) -> bool:
         """Tell whether a paced link takes less than it is sent."""
@@ -137,10 +137,10 @@
 
     def send(self, message: Any) -> None:
         """Queue a message; raises LinkError if the link is closed."""
-        self.send_frame(frame_of(message))
+        self.send_frame(encode_frame(message))
 
     def send_frame(self, frame: bytes) -> None:
-        """Queue what `frame_of` gave, made once for many links."""
+        """Queue what `encode_frame` gave, made once for many links."""
         if self.closed_reason:
             raise LinkError(f'link is closed: {self.closed_reason}')
         is_large = self._large is not None and (
@@ -180,8 +180,10 @@
 
     def _read(self) -> None:
         try:
-            for message in _messages(self._sock, SILENCE_S, self._count):
-                self.last_received = time.monotonic()
+            for message in _messages(
+                self._sock, SILENCE_TIMEOUT_S, self._count
+            ):
+                self.last_received_at = time.monotonic()
                 self._take(message)
             self.close('closed by peer')
         except TimeoutError:
@@ -237,7 +239,7 @@
             wait_s = self._large.wait_s(now)
             if wait_s == 0.0:
                 fragment = self._large.next(now)
-                return _Due(frame_of(fragment), len(fragment.data))
+                return _Due(encode_frame(fragment), len(fragment.data))
             if wait_s is not None:
                 until = min(until, now + wait_s)
         try:
@@ -247,7 +249,7 @@
                 return _Due(_WAKE, 0)
             self._sequence += 1
             beat = messages.Heartbeat(self._sequence, self._offset())
-            return _Due(frame_of(beat), 0)
+            return _Due(encode_frame(beat), 0)
         return None if frame is None else _Due(frame, len(frame))
 
 
@@ -305,7 +307,7 @@
 ) -> Link:
     sock.setsockopt(sockets.IPPROTO_TCP, sockets.TCP_NODELAY, 1)
     sock.settimeout(DIAL_TIMEOUT_S)
-    sock.sendall(frame_of(hello))
+    sock.sendall(encode_frame(hello))
     peer = _read_one(sock)
     if not isinstance(peer, messages.Hello):
         raise wire.WireError(f'{type(peer).__name__} in place of Hello')
@@ -316,7 +318,7 @@
     return link
 
 
-def frame_of(message: Any) -> bytes:
+def encode_frame(message: Any) -> bytes:
     """Give the bytes of a message as they stand on a link."""
     data = wire.encode(message)
     return _LENGTH.pack(len(data)) + data
--- a/packages/burdockchute/tests/test_links.py
+++ b/packages/burdockchute/tests/test_links.py
@@ -77,7 +77,7 @@
         def serve():
             conn, _address = listening.accept()
             taken.put(conn)
-            conn.sendall(links.frame_of(HELLO_IN_FRAGMENTS))
+            conn.sendall(links.encode_frame(HELLO_IN_FRAGMENTS))
 
         gevent.spawn(serve)
         port = listening.getsockname()[1]
@@ -96,7 +96,7 @@
         )
         # The other side goes on only once a fragment was acknowledged.
         conn = taken.get(timeout=2)
-        conn.sendall(links.frame_of(messages.FragmentTaken()))
+        conn.sendall(links.encode_frame(messages.FragmentTaken()))
         self.assertFalse(link.flush(1.0))
         self.assertEqual(
             fragments.FRAGMENT_BYTES, 50_000 - link.queued_bytes - out
@@ -115,10 +115,10 @@
         # Something between the two ends forgets the connection: no bytes
         # and no error arrive any more. Without heartbeats a caller would
         # wait on it for ever.
-        with mock.patch.object(links, 'SILENCE_S', 0.2):
+        with mock.patch.object(links, 'SILENCE_TIMEOUT_S', 0.2):
             mute = socket.create_connection(('127.0.0.1', self.port))
             self.addCleanup(mute.close)
-            mute.sendall(links.frame_of(HELLO))
+            mute.sendall(links.encode_frame(HELLO))
             self.assertIsInstance(self.served.get(timeout=2), links.Opened)
             closed = self.served.get(timeout=2)
         self.assertEqual('silent', closed.reason)
