--- a/packages/burdockchute-agent/burdockchute_agent/staged/app.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/app.py
@@ -15,10 +15,10 @@
 from burdockchute import site_settings
 from burdockchute import tasks
 from burdockchute.adapters import Adapter
-from burdockchute.following import Cadence
-from burdockchute.following import Follower
-from burdockchute.following import longest_wait_s
-from burdockchute.following import SETTLING_S
+from burdockchute.feed_follower import Cadence
+from burdockchute.feed_follower import FeedFollower
+from burdockchute.feed_follower import max_open_read_s
+from burdockchute.feed_follower import SETTLING_S
 from burdockchute.lifetime import Lifetime
 from burdockchute.model.known_state import KnownState
 from burdockchute.model.machines import Machine
@@ -58,10 +58,10 @@
         identity = cfg.identity(machine)._replace(name=self._name)
         self.lifetime = Lifetime(identity, 'agent', lambda: 0)
         self._store_cadence = Cadence(
-            longest_wait_s(machine.bounds.contact_s), STORE_READ_PERIOD_S
+            max_open_read_s(machine.bounds.contact_s), STORE_READ_PERIOD_S
         )
         self._desired_state_sources = DesiredStateSources(time.monotonic())
-        self.follower = Follower(
+        self.follower = FeedFollower(
             adapter.open_feeds(machine.store),
             self._known_state_changed,
             time.monotonic,
@@ -117,7 +117,7 @@
     def _watch(self) -> None:
         metrics.watch('burdockchute.engine_running', '1', self._running)
         metrics.watch('burdockchute.held_bytes', 'By', self.staged.held_bytes)
-        self.follower.watch_ages()
+        self.follower.register_age_gauges()
 
     def _running(self) -> int | None:
         report = self.staged.report
@@ -134,7 +134,7 @@
 
     def _loops(self) -> list[Callable[[], None]]:
         return [
-            self.follower.follow_wishes,
+            self.follower.follow_desired_state,
             self.follower.follow_upstreams,
             self.staged.run,
             self.reports.run,
@@ -172,9 +172,9 @@
         self._desired_state_sources.update(
             link, news.in_contact and requirements is not None, now
         )
-        self.follower.hear(decode_versions(news.named, now))
+        self.follower.receive_peer_reports(decode_versions(news.named, now))
         if requirements is not None:
-            self.follower.hear_needs(requirements)
+            self.follower.receive_requirements(requirements)
 
     def _desired_state_cadence(self) -> Cadence | None:
         must_read = self._desired_state_sources.must_read_store(
--- a/packages/burdockchute-entry/burdockchute_entry/straight/app.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/app.py
@@ -19,10 +19,10 @@
 from burdockchute.adapters import Adapter
 from burdockchute.callers import server
 from burdockchute.decisions.suspects import Suspects
-from burdockchute.following import Cadence
-from burdockchute.following import Follower
-from burdockchute.following import longest_wait_s
-from burdockchute.following import SETTLING_S
+from burdockchute.feed_follower import Cadence
+from burdockchute.feed_follower import FeedFollower
+from burdockchute.feed_follower import max_open_read_s
+from burdockchute.feed_follower import SETTLING_S
 from burdockchute.lifetime import Lifetime
 from burdockchute.model.crash_reports import PeerCrashReport
 from burdockchute.model.known_state import KnownState
@@ -88,9 +88,9 @@
             machine.regions,
             lambda message: self.agents.inbox.put(message),
         )
-        wait_s = longest_wait_s(machine.bounds.contact_s)
+        wait_s = max_open_read_s(machine.bounds.contact_s)
         desired_state_cadence = Cadence(wait_s, DESIRED_STATE_PERIOD_S)
-        self.follower = Follower(
+        self.follower = FeedFollower(
             adapter.open_feeds(machine.store),
             self._on_state_changed,
             now,
@@ -105,7 +105,7 @@
             machine.link_ports[0],
             self._on_load_report,
             self._on_peer_crash_report,
-            lambda: not self.follower.wishes_contact.lost,
+            lambda: not self.follower.desired_state_contact.lost,
             rng,
             self.scheduler.handle_link_event,
         )
@@ -158,7 +158,7 @@
         return self._shut_down(callers)
 
     def _watch(self) -> None:
-        self.follower.watch_ages()
+        self.follower.register_age_gauges()
         metrics.watch(
             'burdockchute.open_requests',
             '1',
@@ -205,7 +205,7 @@
 
     def _loops(self) -> list[Callable[[], None]]:
         return [
-            self.follower.follow_wishes,
+            self.follower.follow_desired_state,
             self.follower.follow_upstreams,
             self.agents.run,
             self._keep_assigning,
@@ -225,9 +225,11 @@
         self, address: str, report: messages.LoadReport
     ) -> None:
         if report.named:
-            self.follower.hear(decode_versions(report.named, time.monotonic()))
+            self.follower.receive_peer_reports(
+                decode_versions(report.named, time.monotonic())
+            )
         if report.configuration is not None:
-            self.follower.hear_configuration(report.configuration)
+            self.follower.receive_configuration_version(report.configuration)
         self.scheduler.apply_load_report(address, report)
 
     def _on_peer_crash_report(self, report: PeerCrashReport) -> None:
--- a/packages/burdockchute/burdockchute/following.py
+++ b/packages/burdockchute/burdockchute/feed_follower.py
@@ -71,7 +71,7 @@
 NEIGHBOURS_POLL_S = 0.01
 
 
-def longest_wait_s(contact_s: float) -> float:
+def max_open_read_s(contact_s: float) -> float:
     """Give how long a read may stay open.
 
     It is answered as soon as there is something, so a longer wait costs fewer
@@ -180,10 +180,10 @@
             )
 
 
-class Follower:
+class FeedFollower:
     """Keeps `known_state`; calls `changed` with each new value of it.
 
-    `wishes_cadence` gives None while others tell what operators want.
+    `desired_state_cadence` gives None while others tell what operators want.
     """
 
     def __init__(
@@ -192,7 +192,7 @@
         changed: Callable[[KnownState], None],
         now: Callable[[], float],
         rng: random.Random,
-        wishes_cadence: Callable[[], Cadence | None],
+        desired_state_cadence: Callable[[], Cadence | None],
         upstreams_cadence: Cadence,
     ) -> None:
         self.known_state = KnownState()
@@ -204,15 +204,15 @@
         self._started_at = now()
         self._heard = startup.NeighbourReports()
         self._held_back_at = 0.0
-        self._wishes_cadence = wishes_cadence
+        self._desired_state_cadence = desired_state_cadence
         self._upstreams_cadence = upstreams_cadence
-        self.wishes_contact = Contact('wishes', now())
+        self.desired_state_contact = Contact('wishes', now())
         self.upstreams_contact = Contact('upstream_list', now())
 
-    def watch_ages(self) -> None:
+    def register_age_gauges(self) -> None:
         """Measure how long ago each feed last answered."""
         for name, contact in (
-            ('wishes_age', self.wishes_contact),
+            ('wishes_age', self.desired_state_contact),
             ('upstream_list_age', self.upstreams_contact),
         ):
             metrics.watch(
@@ -222,12 +222,12 @@
     def _age_s(self, contact: Contact) -> float:
         return contact.age_s(self._now())
 
-    def follow_wishes(self) -> None:
+    def follow_desired_state(self) -> None:
         """Follow what operators want, for ever."""
         self._follow(
             self._feeds.desired_state,
-            self._wishes_cadence,
-            self.wishes_contact,
+            self._desired_state_cadence,
+            self.desired_state_contact,
             self._take_wishes,
         )
 
@@ -240,7 +240,7 @@
             self._take_upstreams,
         )
 
-    def hear(self, told: Sequence[PeerReport]) -> None:
+    def receive_peer_reports(self, told: Sequence[PeerReport]) -> None:
         """Take in when other processes learnt of versions."""
         self._replace(
             *state_updates.apply_peer_reports(
@@ -248,13 +248,13 @@
             )
         )
 
-    def hear_needs(self, told: AgentRequirements) -> None:
+    def receive_requirements(self, told: AgentRequirements) -> None:
         """Take in what an agent needs of the configuration."""
         self._replace(
             *state_updates.apply_reported_requirements(self.known_state, told)
         )
 
-    def hear_configuration(self, version: int) -> None:
+    def receive_configuration_version(self, version: int) -> None:
         """Take in the version of the configuration that a neighbour knows."""
         self._heard = startup.report_received(self._heard, version)
 
--- a/packages/burdockchute/tests/test_following.py
+++ b/packages/burdockchute/tests/test_feed_follower.py
@@ -9,7 +9,7 @@
 from returns.result import Failure
 from returns.result import Success
 
-from burdockchute import following
+from burdockchute import feed_follower
 from burdockchute.decisions import listing
 from burdockchute.model.feeds import Batch
 from burdockchute.model.feeds import ConfigurationRead
@@ -24,7 +24,7 @@
 
 # How long a client of a silent store waits on top of what it asked for.
 ANSWER_S = 0.7
-WAIT_S = following.longest_wait_s(3.0)
+WAIT_S = feed_follower.max_open_read_s(3.0)
 
 
 class Stop(Exception):
@@ -88,22 +88,22 @@
 class FollowerTest(unittest.TestCase):
     def follower(self, store, learnt):
         """Give a follower; `learnt` gets its beliefs and when it had them."""
-        return following.Follower(
+        return feed_follower.FeedFollower(
             Feeds(store.read, store.read),
             lambda known_state: learnt.append((store.time, known_state)),
             store.now,
             random.Random(1),
-            lambda: following.Cadence(WAIT_S, 0.0),
-            following.Cadence(2.0, 0.7, following.SETTLING_S),
+            lambda: feed_follower.Cadence(WAIT_S, 0.0),
+            feed_follower.Cadence(2.0, 0.7, feed_follower.SETTLING_S),
         )
 
     def follow(self, store):
         """Follow a store to its end; gives when the version was learnt."""
         learnt = []
         follower = self.follower(store, learnt)
-        with mock.patch.object(following.gevent, 'sleep', store.sleep):
+        with mock.patch.object(feed_follower.gevent, 'sleep', store.sleep):
             with self.assertRaises(Stop):
-                follower.follow_wishes()
+                follower.follow_desired_state()
         for at, known_state in learnt:
             if known_state.history('story').newest == 2:
                 return at
@@ -126,7 +126,7 @@
         """Upstreams seldom change; nearly all reads would bring nothing."""
         store = Store(1.0, 1.0, until=30.0)
         follower = self.follower(store, [])
-        with mock.patch.object(following.gevent, 'sleep', store.sleep):
+        with mock.patch.object(feed_follower.gevent, 'sleep', store.sleep):
             with self.assertRaises(Stop):
                 follower.follow_upstreams()
         self.assertLess(len(store.asked), 30.0 / 2.0 + 4)
@@ -135,7 +135,7 @@
         """Upstreams that lapsed with the store come back one by one."""
         store = Store(1.0, 8.0, until=30.0)
         follower = self.follower(store, [])
-        with mock.patch.object(following.gevent, 'sleep', store.sleep):
+        with mock.patch.object(feed_follower.gevent, 'sleep', store.sleep):
             with self.assertRaises(Stop):
                 follower.follow_upstreams()
         asked = [at for at, _wait in store.asked if 9.0 < at < 11.3]
@@ -153,9 +153,9 @@
         follower = self.follower(store, [])
         timers = []
         with (
-            mock.patch.object(following.gevent, 'sleep', store.sleep),
+            mock.patch.object(feed_follower.gevent, 'sleep', store.sleep),
             mock.patch.object(
-                following.gevent,
+                feed_follower.gevent,
                 'spawn_later',
                 lambda delay_s, task: timers.append(
                     (store.time + delay_s, task)
@@ -181,7 +181,7 @@
         store = Store(1.0, 21.0, until=30.0, refuses=True)
         self.follow(store)
         asked = [at for at, _wait in store.asked if 2.0 < at < 20.0]
-        self.assertLess(len(asked), 18.0 / (following.MAX_PAUSE_S / 2) + 1)
+        self.assertLess(len(asked), 18.0 / (feed_follower.MAX_PAUSE_S / 2) + 1)
 
     def test_a_feed_that_others_tell_of_is_not_read(self):
         """Entries tell an agent what operators want, until they are killed.
@@ -193,15 +193,17 @@
         store = Store(0.0, 0.0, until=30.0)
         learnt = []
         follower = self.follower(store, learnt)
-        alone = following.Cadence(WAIT_S, 0.0)
-        follower._wishes_cadence = lambda: None if store.time < 8.0 else alone
-        with mock.patch.object(following.gevent, 'sleep', store.sleep):
+        alone = feed_follower.Cadence(WAIT_S, 0.0)
+        follower._desired_state_cadence = lambda: (
+            None if store.time < 8.0 else alone
+        )
+        with mock.patch.object(feed_follower.gevent, 'sleep', store.sleep):
             with self.assertRaises(Stop):
-                follower.follow_wishes()
+                follower.follow_desired_state()
         first_at, _wait_s = store.asked[0]
         self.assertGreaterEqual(first_at, 8.0)
-        self.assertLess(learnt[-1][0], 8.0 + 2 * following.REST_S + 2.0)
-        self.assertFalse(follower.wishes_contact.lost)
+        self.assertLess(learnt[-1][0], 8.0 + 2 * feed_follower.REST_S + 2.0)
+        self.assertFalse(follower.desired_state_contact.lost)
 
 
 class RestoredStore:
@@ -220,7 +222,7 @@
     def sleep(self, seconds):
         self.time += seconds
         while self.told and self.told[0][0] <= self.time:
-            self.follower.hear_configuration(self.told.pop(0)[1])
+            self.follower.receive_configuration_version(self.told.pop(0)[1])
 
     def read(self, position, wait_s):
         if self.time > 20.0:
@@ -260,15 +262,15 @@
     def test_all_is_read_again_once_writers_had_the_time(self):
         """One that was seen to leave may be in force in the copy."""
         store = ReturningStore()
-        follower = following.Follower(
+        follower = feed_follower.FeedFollower(
             Feeds(store.read, store.read),
             lambda known_state: None,
             store.now,
             random.Random(1),
-            lambda: following.Cadence(WAIT_S, 0.0),
-            following.Cadence(2.0, 0.7),
+            lambda: feed_follower.Cadence(WAIT_S, 0.0),
+            feed_follower.Cadence(2.0, 0.7),
         )
-        with mock.patch.object(following.gevent, 'sleep', store.sleep):
+        with mock.patch.object(feed_follower.gevent, 'sleep', store.sleep):
             with self.assertRaises(Stop):
                 follower.follow_upstreams()
         first, again = store.whole_at
@@ -289,17 +291,17 @@
                 version = known_state.routes.configuration.version
                 learnt.append((round(store.time, 1), version))
 
-        store.follower = following.Follower(
+        store.follower = feed_follower.FeedFollower(
             Feeds(store.read, store.read),
             changed,
             store.now,
             random.Random(1),
-            lambda: following.Cadence(WAIT_S, 0.0),
-            following.Cadence(2.0, 0.7),
+            lambda: feed_follower.Cadence(WAIT_S, 0.0),
+            feed_follower.Cadence(2.0, 0.7),
         )
-        with mock.patch.object(following.gevent, 'sleep', store.sleep):
+        with mock.patch.object(feed_follower.gevent, 'sleep', store.sleep):
             with self.assertRaises(Stop):
-                store.follower.follow_wishes()
+                store.follower.follow_desired_state()
         return learnt
 
     def test_it_serves_nothing_older_than_its_neighbours_know(self):
