--- a/packages/burdockchute-agent/burdockchute_agent/app.py
+++ b/packages/burdockchute-agent/burdockchute_agent/app.py
@@ -11,7 +11,7 @@
 from burdockchute import http_admin
 from burdockchute import logs
 from burdockchute import tasks
-from burdockchute.lifetime import Lifetime
+from burdockchute.lifecycle import ProcessLifecycle
 from burdockchute.model.changes import MembersChanged
 from burdockchute.model.changes import TableChanged
 from burdockchute.model.members import Place
@@ -43,7 +43,7 @@
 
     def __init__(self, cfg: Settings) -> None:
         self.cfg = cfg
-        self.lifetime = Lifetime(cfg, 'agent', self.table_offset)
+        self.lifecycle = ProcessLifecycle(cfg, 'agent', self.table_offset)
         self.admin_url = ''
         self.inbox: queue.Queue = queue.Queue()
         self.entries: dict[links.Link, None] = {}
@@ -59,9 +59,9 @@
             uplink=cfg.uplink_bytes_per_s,
             downlink=cfg.downlink_bytes_per_s,
             register=lambda: register(
-                log, cfg.name, self.lifetime.incarnation
+                log, cfg.name, self.lifecycle.incarnation
             ),
-            hello=self.lifetime.hello,
+            hello=self.lifecycle.hello,
             source=lambda: self.admin_url,
             services=cfg.services,
             live_bytes=self._live_bytes,
@@ -82,11 +82,11 @@
 
     def serve(self) -> int:
         """Run until a signal requests a stop; return the exit status."""
-        self.lifetime.begin()
+        self.lifecycle.start()
         link_server = links.listen(
             self.cfg.address,
             self.cfg.link_port,
-            self.lifetime.hello,
+            self.lifecycle.hello,
             self.inbox,
             self.table_offset,
         )
@@ -99,14 +99,14 @@
             link_port=link_server.server_port,
             admin_port=admin.server_port,
         )
-        if not self.lifetime.run_until_stopped(self._loops()):
+        if not self.lifecycle.run_until_stopped(self._loops()):
             return tasks.EXIT_TASK_FAILED
         return self._shut_down(link_server)
 
     def status(self) -> dict[str, Any]:
         """Return the status document of this process."""
         return {
-            **self.lifetime.status(),
+            **self.lifecycle.status(),
             'table_offset': self.table_offset(),
             'table_age_s': self.rows.age_s(),
             'entries': sorted(link.peer.name for link in self.entries),
@@ -126,12 +126,12 @@
             self.reports.run,
         ]
 
-    def _probe(self) -> http_admin.Probe:
+    def _probe(self) -> http_admin.Readiness:
         if self.table_offset() < 0:
-            return http_admin.Probe(False, 'no table yet')
+            return http_admin.Readiness(False, 'no table yet')
         if self.runner.leaving:
-            return http_admin.Probe(False, 'leaving')
-        return http_admin.Probe(True, '')
+            return http_admin.Readiness(False, 'leaving')
+        return http_admin.Readiness(True, '')
 
     def _admin_app(self) -> Callable:
         return http_admin.make_app(
@@ -141,7 +141,7 @@
     def _weights_page(self, digest: str) -> http_admin.Response:
         content = self.weights.weights_response(digest)
         if content is None:
-            return http_admin.as_json(
+            return http_admin.json_response(
                 {'error': f'no whole copy of {digest!r}'}, '404 Not Found'
             )
         manifest, chunks = content
--- a/packages/burdockchute-agent/burdockchute_agent/main.py
+++ b/packages/burdockchute-agent/burdockchute_agent/main.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from burdockchute import starting
+from burdockchute import bootstrap
 
-starting.prepare()
+bootstrap.prepare()
 
 import argparse  # noqa: E402
 import os  # noqa: E402
@@ -22,7 +22,7 @@
         return commands.print_status(args, os.environ)
     if args.command == 'check':
         return commands.run_check(
-            settings.SETTINGS, args, os.environ, settings.of_values
+            settings.SETTINGS, args, os.environ, settings.from_values
         )
     if args.command == 'check-site':
         return commands.check_site(args, os.environ)
@@ -53,7 +53,7 @@
         settings.SETTINGS,
         args,
         os.environ,
-        settings.of_values,
+        settings.from_values,
         lambda cfg: App(cfg).serve(),
     )
 
--- a/packages/burdockchute-agent/burdockchute_agent/settings.py
+++ b/packages/burdockchute-agent/burdockchute_agent/settings.py
@@ -46,7 +46,7 @@
 
 
 SETTINGS = (
-    *base.place_settings('main'),
+    *base.instance_settings('main'),
     Setting('store-url', 'the weight store', base.parse_url),
     Setting('upstream-url', 'the upstream beside us', base.parse_url),
     Setting('upstream-kind', 'engine or service', _parse_kind, 'engine'),
@@ -78,6 +78,6 @@
 )
 
 
-def of_values(values: dict[str, Any]) -> Settings:
+def from_values(values: dict[str, Any]) -> Settings:
     """Return the settings made of parsed values."""
     return Settings(**values)
--- a/packages/burdockchute-agent/burdockchute_agent/staged/app.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/app.py
@@ -19,7 +19,7 @@
 from burdockchute.feed_follower import FeedFollower
 from burdockchute.feed_follower import max_open_read_s
 from burdockchute.feed_follower import SETTLING_S
-from burdockchute.lifetime import Lifetime
+from burdockchute.lifecycle import ProcessLifecycle
 from burdockchute.model.known_state import KnownState
 from burdockchute.model.machines import Machine
 from burdockchute.nodes import links
@@ -56,7 +56,7 @@
         self._name = str(machine.upstream)
         rng = random.Random()
         identity = cfg.identity(machine)._replace(name=self._name)
-        self.lifetime = Lifetime(identity, 'agent', lambda: 0)
+        self.lifecycle = ProcessLifecycle(identity, 'agent', lambda: 0)
         self._store_cadence = Cadence(
             max_open_read_s(machine.bounds.contact_s), STORE_READ_PERIOD_S
         )
@@ -72,7 +72,7 @@
         self.staged = StagedTask(
             machine,
             adapter,
-            self.lifetime.hello,
+            self.lifecycle.hello,
             lambda: self.follower.known_state,
             time.monotonic,
             rng,
@@ -88,12 +88,12 @@
     def serve(self) -> int:
         """Run until a signal requests a stop; return the exit status."""
         machine = self._machine
-        self.lifetime.begin(self._reload)
+        self.lifecycle.start(self._reload)
         self._watch()
         link_server = links.listen(
             machine.address,
             machine.link_ports[0],
-            self.lifetime.hello,
+            self.lifecycle.hello,
             self.inbox,
             lambda: 0,
         )
@@ -107,16 +107,20 @@
             link_port=link_server.server_port,
             admin_port=admin.server_port,
             upstream=self._name,
-            incarnation=self.lifetime.incarnation,
+            incarnation=self.lifecycle.incarnation,
         )
-        if not self.lifetime.run_until_stopped(self._loops()):
+        if not self.lifecycle.run_until_stopped(self._loops()):
             return tasks.EXIT_TASK_FAILED
         logs.event('stopped', left=0)
         return 0
 
     def _watch(self) -> None:
-        metrics.watch('burdockchute.engine_running', '1', self._running)
-        metrics.watch('burdockchute.held_bytes', 'By', self.staged.held_bytes)
+        metrics.register_gauge(
+            'burdockchute.engine_running', '1', self._running
+        )
+        metrics.register_gauge(
+            'burdockchute.held_bytes', 'By', self.staged.held_bytes
+        )
         self.follower.register_age_gauges()
 
     def _running(self) -> int | None:
@@ -127,7 +131,7 @@
         """Return the status document of this process."""
         report = self.staged.report
         return {
-            **self.lifetime.status(),
+            **self.lifecycle.status(),
             'engine': report._asdict() if report else None,
             'entries': len(self.reports.entries),
         }
@@ -197,5 +201,5 @@
         )
         return requirements.slots if requirements else 0
 
-    def _probe(self) -> http_admin.Probe:
-        return http_admin.Probe(True, '')
+    def _probe(self) -> http_admin.Readiness:
+        return http_admin.Readiness(True, '')
--- a/packages/burdockchute-agent/burdockchute_agent/staged/staged_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/staged_task.py
@@ -138,7 +138,7 @@
         try:
             wait_s = 0.0
             while True:
-                tasks.take_waiting(self.inbox, self._handle, wait_s)
+                tasks.drain_inbox(self.inbox, self._handle, wait_s)
                 wait_s = self._step(self._now())
         finally:
             poller.kill(block=False)
--- a/packages/burdockchute-agent/burdockchute_agent/weights_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/weights_task.py
@@ -135,7 +135,7 @@
         try:
             wait_s = 0.0
             while True:
-                tasks.take_waiting(self.inbox, self._handle_now, wait_s)
+                tasks.drain_inbox(self.inbox, self._handle_now, wait_s)
                 wait_s = self._step(time.monotonic())
         finally:
             gevent.killall(greenlets, block=False)
--- a/packages/burdockchute-entry/burdockchute_entry/app.py
+++ b/packages/burdockchute-entry/burdockchute_entry/app.py
@@ -15,7 +15,7 @@
 from burdockchute import tasks
 from burdockchute.callers import http
 from burdockchute.callers import server
-from burdockchute.lifetime import Lifetime
+from burdockchute.lifecycle import ProcessLifecycle
 from burdockchute.model import deltas
 from burdockchute.model.changes import MembersChanged
 from burdockchute.model.changes import TableChanged
@@ -56,7 +56,7 @@
 
     def __init__(self, cfg: Settings) -> None:
         self.cfg = cfg
-        self.lifetime = Lifetime(cfg, 'entry', self.table_offset)
+        self.lifecycle = ProcessLifecycle(cfg, 'entry', self.table_offset)
         self.leaving = False
         self.log = LogClient(cfg.log_url)
         self.table_task = TableTask(
@@ -95,7 +95,7 @@
         )
         self.links_task = LinksTask(
             cfg.name,
-            self.lifetime.hello,
+            self.lifecycle.hello,
             InstanceList(cfg.instances_url),
             TableSource(
                 self.table_offset,
@@ -121,11 +121,11 @@
 
     def serve(self) -> int:
         """Run until a signal asks to stop; give the exit status."""
-        self.lifetime.begin()
+        self.lifecycle.start()
         link_server = links.listen(
             self.cfg.address,
             self.cfg.link_port,
-            self.lifetime.hello,
+            self.lifecycle.hello,
             self.links_task.inbox,
             self.table_offset,
         )
@@ -143,14 +143,14 @@
             http_port=callers.server_port,
             admin_port=admin.server_port,
         )
-        if not self.lifetime.run_until_stopped(self._loops()):
+        if not self.lifecycle.run_until_stopped(self._loops()):
             return tasks.EXIT_TASK_FAILED
         return self._shut_down(callers, callers_app)
 
     def status(self) -> dict[str, Any]:
         """Give what this process holds and does."""
         return {
-            **self.lifetime.status(),
+            **self.lifecycle.status(),
             'leaving': self.leaving,
             'in_flight': self.router.open_requests(),
             'table': self.table_task.status()._asdict(),
@@ -219,18 +219,18 @@
             self.status,
             self._probe,
             {
-                '/burn': lambda _rest: http_admin.as_json(
+                '/burn': lambda _rest: http_admin.json_response(
                     self.request_metrics.burn_counts()
                 )
             },
         )
 
-    def _probe(self) -> http_admin.Probe:
+    def _probe(self) -> http_admin.Readiness:
         if not self.table_task.ready.is_set():
-            return http_admin.Probe(False, 'no table yet')
+            return http_admin.Readiness(False, 'no table yet')
         if self.leaving:
-            return http_admin.Probe(False, 'leaving')
-        return http_admin.Probe(True, '')
+            return http_admin.Readiness(False, 'leaving')
+        return http_admin.Readiness(True, '')
 
     def _shut_down(self, callers: Any, callers_app: server.CountedApp) -> int:
         # Requests that were accepted are finished; new connections are still
--- a/packages/burdockchute-entry/burdockchute_entry/claims_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/claims_task.py
@@ -120,7 +120,7 @@
 
     def run(self) -> None:
         """Take messages for ever."""
-        tasks.take_messages(
+        tasks.process_inbox(
             self.inbox, self.handle, self.tick, TICK_S, self._clocks.now
         )
 
--- a/packages/burdockchute-entry/burdockchute_entry/limits_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/limits_task.py
@@ -76,7 +76,7 @@
 
     def run(self) -> None:
         """Take messages for ever."""
-        tasks.take_messages(
+        tasks.process_inbox(
             self.inbox, self.handle, self.tick, PERIOD_S, self._now
         )
 
--- a/packages/burdockchute-entry/burdockchute_entry/main.py
+++ b/packages/burdockchute-entry/burdockchute_entry/main.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from burdockchute import starting
+from burdockchute import bootstrap
 
-starting.prepare()
+bootstrap.prepare()
 
 import argparse  # noqa: E402
 from collections.abc import Callable  # noqa: E402
@@ -30,7 +30,7 @@
         'serve-site': lambda: _serve_site(args),
         'check-site': lambda: commands.check_site(args, os.environ),
         'check': lambda: commands.run_check(
-            settings.SETTINGS, args, os.environ, settings.of_values
+            settings.SETTINGS, args, os.environ, settings.from_values
         ),
         'status': lambda: commands.print_status(args, os.environ),
         'table': lambda: table_commands.run(args, os.environ),
@@ -71,7 +71,7 @@
         settings.SETTINGS,
         args,
         os.environ,
-        settings.of_values,
+        settings.from_values,
         lambda cfg: App(cfg).serve(),
     )
 
--- a/packages/burdockchute-entry/burdockchute_entry/settings.py
+++ b/packages/burdockchute-entry/burdockchute_entry/settings.py
@@ -31,7 +31,7 @@
 
 
 SETTINGS = (
-    *base.place_settings('entry'),
+    *base.instance_settings('entry'),
     Setting('http-port', 'port for callers', base.parse_port, '0'),
     Setting(
         'log-retention-s',
@@ -56,6 +56,6 @@
 )
 
 
-def of_values(values: dict[str, Any]) -> Settings:
+def from_values(values: dict[str, Any]) -> Settings:
     """Give the settings from parsed values."""
     return Settings(**values)
--- a/packages/burdockchute-entry/burdockchute_entry/straight/agents_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/agents_task.py
@@ -117,7 +117,7 @@
 
     def run(self) -> None:
         """Process messages forever."""
-        tasks.take_messages(
+        tasks.process_inbox(
             self.inbox, self._handle, self._on_timer, TICK_S, time.monotonic
         )
 
--- a/packages/burdockchute-entry/burdockchute_entry/straight/app.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/app.py
@@ -23,7 +23,7 @@
 from burdockchute.feed_follower import FeedFollower
 from burdockchute.feed_follower import max_open_read_s
 from burdockchute.feed_follower import SETTLING_S
-from burdockchute.lifetime import Lifetime
+from burdockchute.lifecycle import ProcessLifecycle
 from burdockchute.model.crash_reports import PeerCrashReport
 from burdockchute.model.known_state import KnownState
 from burdockchute.model.machines import Machine
@@ -79,7 +79,9 @@
         self._machine = machine
         now = time.monotonic
         rng = random.Random()
-        self.lifetime = Lifetime(cfg.identity(machine), 'entry', lambda: 0)
+        self.lifecycle = ProcessLifecycle(
+            cfg.identity(machine), 'entry', lambda: 0
+        )
         self.scheduler = Scheduler(
             machine.bounds,
             now,
@@ -101,7 +103,7 @@
         self._suspects = Suspects()
         self.agents = AgentsTask(
             Member(machine.name, 'entry', machine.address, 0, machine.place),
-            self.lifetime.hello,
+            self.lifecycle.hello,
             machine.link_ports[0],
             self._on_load_report,
             self._on_peer_crash_report,
@@ -131,7 +133,7 @@
         """Run until a signal stops the process; returns the exit status."""
         machine = self._machine
         assert machine.callers is not None and machine.probes is not None
-        self.lifetime.begin(self._reload)
+        self.lifecycle.start(self._reload)
         self._watch()
         callers = server.make_server(
             machine.callers.ip, machine.callers.port, self.callers
@@ -151,23 +153,23 @@
             probes=machine.probes,
             admin_port=admin.server_port,
             zone=machine.place.zone,
-            incarnation=self.lifetime.incarnation,
+            incarnation=self.lifecycle.incarnation,
         )
-        if not self.lifetime.run_until_stopped(self._loops()):
+        if not self.lifecycle.run_until_stopped(self._loops()):
             return tasks.EXIT_TASK_FAILED
         return self._shut_down(callers)
 
     def _watch(self) -> None:
         self.follower.register_age_gauges()
-        metrics.watch(
+        metrics.register_gauge(
             'burdockchute.open_requests',
             '1',
             lambda: self.callers.open_requests,
         )
-        metrics.watch(
+        metrics.register_gauge(
             'burdockchute.configuration_version', '1', self._configuration
         )
-        metrics.watch(
+        metrics.register_gauge(
             'burdockchute.upstreams',
             '1',
             lambda: len(self.scheduler.targets()),
@@ -181,7 +183,7 @@
         """Return the status document of this process."""
         known_state = self.known_state()
         return {
-            **self.lifetime.status(),
+            **self.lifecycle.status(),
             'leaving': self.shutting_down,
             'open_requests': self.callers.open_requests,
             'configuration': self._configuration(),
@@ -251,12 +253,12 @@
         start_response(line, [('Content-Type', 'text/plain')])
         return [(ready.reason or 'ready').encode()]
 
-    def _readiness(self) -> http_admin.Probe:
+    def _readiness(self) -> http_admin.Readiness:
         if self.shutting_down:
-            return http_admin.Probe(False, 'leaving')
+            return http_admin.Readiness(False, 'leaving')
         if not self.known_state().complete:
-            return http_admin.Probe(False, 'no configuration yet')
-        return http_admin.Probe(True, '')
+            return http_admin.Readiness(False, 'no configuration yet')
+        return http_admin.Readiness(True, '')
 
     def _serve_admin(self) -> pywsgi.WSGIServer:
         app = http_admin.make_app(self.status, self._readiness)
--- a/packages/burdockchute-entry/burdockchute_entry/straight/caller_watch.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/caller_watch.py
@@ -7,7 +7,7 @@
 import gevent
 from gevent import get_hub
 
-from burdockchute.sockets import hung_up
+from burdockchute.sockets import closed_by_peer
 from burdockchute_entry.straight.replies import CallerGone
 
 READ = 1
@@ -37,7 +37,7 @@
         self._io.close()
 
     def _check(self) -> None:
-        hung_up_now = hung_up(self._sock)
+        hung_up_now = closed_by_peer(self._sock)
         # Pipelined data from the caller stays readable until the current
         # request ends, so the watcher stops in any case.
         self._io.stop()
--- a/packages/burdockchute/burdockchute/adapters.py
+++ b/packages/burdockchute/burdockchute/adapters.py
@@ -31,7 +31,7 @@
 from burdockchute.model.upstreams import Endpoint
 from burdockchute.weights.manifest import Manifest
 
-GROUP = 'burdockchute.adapters'
+ENTRY_POINT_GROUP = 'burdockchute.adapters'
 
 HeaderList = Iterable[tuple[str, str]]
 
@@ -91,9 +91,12 @@
     request_id_header: str
 
 
-def find(name: str) -> Result[Adapter, Finding]:
+def load_adapter(name: str) -> Result[Adapter, Finding]:
     """Load the adapter of that name."""
-    found = {point.name: point for point in metadata.entry_points(group=GROUP)}
+    found = {
+        point.name: point
+        for point in metadata.entry_points(group=ENTRY_POINT_GROUP)
+    }
     if name not in found:
         text = not_one_of(name, found) if found else f'no adapter {name!r}'
         return Failure(Finding('platform', text))
--- a/packages/burdockchute/burdockchute/starting.py
+++ b/packages/burdockchute/burdockchute/bootstrap.py
@@ -1,8 +1,8 @@
 """What each program does before anything else.
 
-from burdockchute import starting
+from burdockchute import bootstrap
 
-starting.prepare()
+bootstrap.prepare()
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     _patch()
 
 
-def was_reload_asked() -> bool:
+def consume_reload_request() -> bool:
     """Tell whether SIGHUP came since `prepare`, or since the last call."""
     asked = bool(_held)
     _held.clear()
--- a/packages/burdockchute/burdockchute/callers/server.py
+++ b/packages/burdockchute/burdockchute/callers/server.py
@@ -13,7 +13,7 @@
 import gevent
 from gevent import pywsgi
 
-from burdockchute.sockets import hung_up
+from burdockchute.sockets import closed_by_peer
 
 # Time for the line and headers of a request once its first byte came, for a
 # connection without request, and for one write to a caller that reads.
@@ -63,7 +63,7 @@
     by itself, and the upstream would work for nobody.
     """
     sock = environ.get(SOCKET_KEY)
-    return sock is not None and hung_up(sock)
+    return sock is not None and closed_by_peer(sock)
 
 
 class Body:
--- a/packages/burdockchute/burdockchute/commands.py
+++ b/packages/burdockchute/burdockchute/commands.py
@@ -85,10 +85,10 @@
     settings: Sequence[Setting],
     args: argparse.Namespace,
     environ: Mapping[str, str],
-    of_values: Callable[[dict[str, Any]], Any],
+    from_values: Callable[[dict[str, Any]], Any],
 ) -> int:
     """Print the settings in force, one a line."""
-    cfg = of_values(read_or_exit(settings, args, environ))
+    cfg = from_values(read_or_exit(settings, args, environ))
     for name, value in cfg._asdict().items():
         print(f'{name}={value}')
     return 0
@@ -98,11 +98,11 @@
     settings: Sequence[Setting],
     args: argparse.Namespace,
     environ: Mapping[str, str],
-    of_values: Callable[[dict[str, Any]], Any],
+    from_values: Callable[[dict[str, Any]], Any],
     serve: Callable[[Any], int],
 ) -> int:
     """Run a process with checked settings; give its exit status."""
-    cfg = of_values(read_or_exit(settings, args, environ))
+    cfg = from_values(read_or_exit(settings, args, environ))
     logs.set_up(cfg.log_level, cfg.name)
     try:
         return serve(cfg)
@@ -137,8 +137,8 @@
 ) -> Site:
     """Give what a process starts from, or list all findings and exit."""
     values = read_or_exit(site_settings.SETTINGS, args, environ)
-    cfg = site_settings.of_values(values)
-    adapter = adapters.find(cfg.platform)
+    cfg = site_settings.from_values(values)
+    adapter = adapters.load_adapter(cfg.platform)
     if isinstance(adapter, Failure):
         _exit_with([adapter.failure()])
     machine = adapter.unwrap().read_machine(cfg.settings)
--- a/packages/burdockchute/burdockchute/feed_follower.py
+++ b/packages/burdockchute/burdockchute/feed_follower.py
@@ -215,7 +215,7 @@
             ('wishes_age', self.desired_state_contact),
             ('upstream_list_age', self.upstreams_contact),
         ):
-            metrics.watch(
+            metrics.register_gauge(
                 f'burdockchute.{name}', 's', partial(self._age_s, contact)
             )
 
--- a/packages/burdockchute/burdockchute/http_admin.py
+++ b/packages/burdockchute/burdockchute/http_admin.py
@@ -23,20 +23,20 @@
 Page = Callable[[str], Response]
 
 
-class Probe(NamedTuple):
+class Readiness(NamedTuple):
     """Whether a process is ready, and if not, why."""
 
     ready: bool
     reason: str
 
 
-def as_json(data: object, status: str = '200 OK') -> Response:
+def json_response(data: object, status: str = '200 OK') -> Response:
     """Give a response with the data as JSON."""
     body = json.dumps(data, indent=1, sort_keys=True).encode() + b'\n'
     return status, [('Content-Type', 'application/json')], [body]
 
 
-def as_text(text: str) -> Response:
+def text_response(text: str) -> Response:
     """Give a response with plain text."""
     headers = [('Content-Type', 'text/plain; version=0.0.4')]
     return '200 OK', headers, [text.encode()]
@@ -44,7 +44,7 @@
 
 def make_app(
     status: Callable[[], dict[str, Any]],
-    probe: Callable[[], Probe],
+    probe: Callable[[], Readiness],
     pages: dict[str, Page] | None = None,
 ) -> Callable[..., Iterable[bytes]]:
     """Give the WSGI application; `pages` maps more path prefixes.
@@ -72,21 +72,21 @@
 def _answer(
     path: str,
     status: Callable[[], dict[str, Any]],
-    probe: Callable[[], Probe],
+    probe: Callable[[], Readiness],
     pages: dict[str, Page],
 ) -> Response:
     if path == '/healthz':
-        return as_json({'healthy': True})
+        return json_response({'healthy': True})
     if path == '/readyz':
         ready = probe()
         line = '200 OK' if ready.ready else '503 Service Unavailable'
-        return as_json(ready._asdict(), line)
+        return json_response(ready._asdict(), line)
     if path == '/status':
-        return as_json(status())
+        return json_response(status())
     if path == '/metrics':
-        return as_json(metrics.snapshot())
+        return json_response(metrics.snapshot())
     if path == METRICS_TEXT:
-        return as_text(metrics.as_text(metrics.snapshot()))
+        return text_response(metrics.prometheus_text(metrics.snapshot()))
     for prefix, page in pages.items():
         if path.startswith(prefix):
             return page(path[len(prefix) :])
@@ -98,7 +98,7 @@
         '/status',
         *pages,
     ]
-    return as_json(
+    return json_response(
         {'error': f'{path!r} is not one of {", ".join(known)}'},
         '404 Not Found',
     )
--- a/packages/burdockchute/burdockchute/lifetime.py
+++ b/packages/burdockchute/burdockchute/lifecycle.py
@@ -13,8 +13,8 @@
 import gevent
 from gevent import event as events
 
+from burdockchute import bootstrap
 from burdockchute import metrics
-from burdockchute import starting
 from burdockchute import tasks
 from burdockchute.nodes import links
 from burdockchute.wire import messages
@@ -33,7 +33,7 @@
     def otlp_endpoint(self) -> str: ...
 
 
-class Lifetime:
+class ProcessLifecycle:
     """One run of a process; `role` is 'entry' or 'agent'."""
 
     def __init__(
@@ -60,7 +60,7 @@
             fragments=True,
         )
 
-    def begin(self, reload: Callable[[], None] | None = None) -> None:
+    def start(self, reload: Callable[[], None] | None = None) -> None:
         """Start measuring, and let signals ask to stop or to reload."""
         metrics.set_up(self._cfg.name, self._cfg.otlp_endpoint)
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -68,7 +68,7 @@
         if reload is None:
             return
         gevent.signal_handler(signal.SIGHUP, reload)
-        if starting.was_reload_asked():
+        if bootstrap.consume_reload_request():
             gevent.spawn(reload)
 
     def run_until_stopped(self, loops: Iterable[Callable[[], None]]) -> bool:
--- a/packages/burdockchute/burdockchute/metrics.py
+++ b/packages/burdockchute/burdockchute/metrics.py
@@ -52,7 +52,9 @@
     return otel.get_meter('burdockchute')
 
 
-def watch(name: str, unit: str, read: Callable[[], float | None]) -> None:
+def register_gauge(
+    name: str, unit: str, read: Callable[[], float | None]
+) -> None:
     """Measure a value whenever metrics are read; None leaves it out."""
 
     def observe(_options: otel.CallbackOptions) -> list[otel.Observation]:
@@ -80,7 +82,7 @@
     return points
 
 
-def as_text(points: Iterable[Point]) -> str:
+def prometheus_text(points: Iterable[Point]) -> str:
     """Give points in the text format that collectors of metrics read."""
     return ''.join(f'{line}\n' for p in points for line in _text_of(p))
 
--- a/packages/burdockchute/burdockchute/settings.py
+++ b/packages/burdockchute/burdockchute/settings.py
@@ -5,7 +5,7 @@
 the default.
 
 >>> port = Setting('port', 'TCP port', parse_port, '0')
->>> variable_of(port)
+>>> variable_name(port)
 'BURDOCKCHUTE_PORT'
 """
 
@@ -44,7 +44,7 @@
     default: str | None = None
 
 
-def place_settings(pool: str) -> tuple[Setting, ...]:
+def instance_settings(pool: str) -> tuple[Setting, ...]:
     """Give the settings that tell where an instance stands."""
     return (
         Setting('name', 'name of this instance', parse_name),
@@ -77,7 +77,7 @@
     )
 
 
-def variable_of(setting: Setting) -> str:
+def variable_name(setting: Setting) -> str:
     """Give the name of the environment variable."""
     return 'BURDOCKCHUTE_' + setting.name.upper().replace('-', '_')
 
@@ -95,7 +95,7 @@
         parser.add_argument(
             f'--{setting.name}',
             metavar=setting.name.upper().replace('-', '_'),
-            help=f'{setting.help} [{variable_of(setting)}; {default}]',
+            help=f'{setting.help} [{variable_name(setting)}; {default}]',
         )
 
 
@@ -213,7 +213,7 @@
     flag = getattr(args, _attribute_of(setting), None)
     if flag is not None:
         return f'--{setting.name}', flag
-    variable = variable_of(setting)
+    variable = variable_name(setting)
     if variable in environ:
         return variable, environ[variable]
     return f'--{setting.name} or {variable}', setting.default
--- a/packages/burdockchute/burdockchute/site_settings.py
+++ b/packages/burdockchute/burdockchute/site_settings.py
@@ -68,7 +68,7 @@
 )
 
 
-def of_values(values: dict[str, Any]) -> SiteSettings:
+def from_values(values: dict[str, Any]) -> SiteSettings:
     """Give the settings from parsed values."""
     return SiteSettings(**values)
 
--- a/packages/burdockchute/burdockchute/sockets.py
+++ b/packages/burdockchute/burdockchute/sockets.py
@@ -25,7 +25,7 @@
     return bool(poll.poll(0))
 
 
-def hung_up(sock: Any) -> bool:
+def closed_by_peer(sock: Any) -> bool:
     """Tell whether the other side has closed a connection."""
     if not is_readable(sock):
         return False
--- a/packages/burdockchute/burdockchute/tasks.py
+++ b/packages/burdockchute/burdockchute/tasks.py
@@ -29,7 +29,7 @@
     return [gevent.spawn(_watched, loop, on_failure) for loop in loops]
 
 
-def take_messages(
+def process_inbox(
     inbox: queue.Queue,
     handle: Callable[[Any], None],
     tick: Callable[[], None],
@@ -55,7 +55,7 @@
         handle(message)
 
 
-def take_waiting(
+def drain_inbox(
     inbox: queue.Queue, handle: Callable[[Any], None], wait_s: float
 ) -> None:
     """Wait for a message, then handle it and all others that are there."""
--- a/packages/burdockchute/tests/test_metrics.py
+++ b/packages/burdockchute/tests/test_metrics.py
@@ -33,5 +33,5 @@
             'a_time_bucket{le="+Inf"} 3\n'
             'a_time_sum 1.5\n'
             'a_time_count 3\n',
-            metrics.as_text([counter, histogram]),
+            metrics.prometheus_text([counter, histogram]),
         )
