--- a/packages/burdockchute/burdockchute/nodes/desired_state.py
+++ b/packages/burdockchute/burdockchute/nodes/desired_state.py
@@ -32,7 +32,7 @@
 
     >>> from burdockchute.decisions import versions
     >>> history = versions.add_version(versions.History(), 3, 97.5)
-    >>> news_of({'story': history}, 100.0)
+    >>> encode_versions({'story': history}, 100.0)
     [NamedVersion(model='story', version=3, age_ms=2500)]
     """
     return [
@@ -65,7 +65,8 @@
 ) -> messages.AgentNeeds | None:
     """Give what to tell of an agent's needs.
 
-    >>> needs_news(AgentRequirements(7, ('story',), 4, '10.0.0.1:80')).models
+    >>> requirements = AgentRequirements(7, ('story',), 4, '10.0.0.1:80')
+    >>> encode_requirements(requirements).models
     ['story']
     """
     if needs is None:
