--- a/packages/burdockchute/burdockchute/model/known_state.py
+++ b/packages/burdockchute/burdockchute/model/known_state.py
@@ -1,4 +1,9 @@
-"""What a process believes of its platform, and since when."""
+"""What a process knows of the platform's state, and since when.
+
+Functions return the next state and the changes to log. A configuration and a
+model's newest version never go back to an older one, in whatever order they
+are read or reported.
+"""
 
 from __future__ import annotations
 
@@ -25,12 +30,12 @@
 
 
 class KnownState(NamedTuple):
-    """Routes, named versions and upstreams; replaced as a whole.
+    """Routes, named versions and upstreams; immutable, replaced on a change.
 
     `histories` is by model. `upstreams_listed` is true once the list was
-    read. `reported_requirements` is what others say an agent needs of the
-    routes, where it has not read them. `held_back_configuration` is a
-    configuration that neighbours know to be outdated.
+    read. `reported_requirements` is what entries report that an agent needs
+    of the configuration, where it has not read it. `held_back_configuration`
+    is a configuration that neighbours know to be outdated.
     """
 
     routes: RouteTable | None = None
@@ -42,15 +47,15 @@
 
     @property
     def complete(self) -> bool:
-        """Whether there is enough to serve callers."""
+        """Whether enough is known to serve callers."""
         return self.routes is not None and self.upstreams_listed
 
     def present_upstreams(self) -> list[Upstream]:
-        """Give the upstreams, also those that leave."""
+        """Return the listed upstreams, including those that drain."""
         return [known.upstream for known in self.upstreams.known.values()]
 
     def agent_requirements(self, service: str) -> AgentRequirements | None:
-        """Give the newest that is known of what an agent needs."""
+        """Return the newest known requirements of an agent of a service."""
         if self.routes is None:
             return self.reported_requirements
         version = self.routes.configuration.version
@@ -62,7 +67,7 @@
         return requirements_of(version, self.routes.services, service)
 
     def newest_configuration_version(self) -> int:
-        """Give the newest configuration heard of, 0 for none."""
+        """Return the newest version read or reported, 0 for none."""
         read = self.routes.configuration.version if self.routes else 0
         return max(
             read,
@@ -72,12 +77,12 @@
         )
 
     def history(self, model: str) -> versions.History:
-        """Give the versions of a model that were named."""
+        """Return the versions of a model that were named."""
         return self.histories.get(model, versions.History())
 
 
 class StateChange(NamedTuple):
-    """One change of belief, for the log: what, about whom, and from what."""
+    """One change of the known state: the event to log and its fields."""
 
     event: str
     fields: Mapping[str, object]
@@ -88,56 +93,56 @@
     batch: Batch,
     first: bool,
     now: float,
-    least_configuration: int = 0,
+    min_configuration: int = 0,
 ) -> tuple[KnownState, list[StateChange]]:
-    """Take in what operators want.
+    """Apply configurations and versions that operators have saved.
 
-    `first` marks the first reading of a process, which can't tell when a
+    `first` marks the first read of a process, which can't tell when a
     version was named. A process without a configuration holds back one that
-    is older than `least_configuration`, which its neighbours know.
+    is older than `min_configuration`, the newest that its neighbours know.
     """
-    learnt: list[StateChange] = []
+    state_changes: list[StateChange] = []
     for change in batch.changes:
         if (
             isinstance(change, ConfigurationRead)
             and known_state.routes is None
-            and change.configuration.version < least_configuration
+            and change.configuration.version < min_configuration
         ):
             known_state = known_state._replace(
                 held_back_configuration=change.configuration
             )
-            learnt.append(
+            state_changes.append(
                 StateChange(
                     'configuration_held_back',
                     {
                         'version': change.configuration.version,
-                        'neighbours': least_configuration,
+                        'neighbours': min_configuration,
                     },
                 )
             )
             continue
-        known_state = _take_wish(
-            known_state, change, None if first else now, learnt
+        known_state = _apply_change(
+            known_state, change, None if first else now, state_changes
         )
-    return known_state, learnt
+    return known_state, state_changes
 
 
 def apply_held_back(
     known_state: KnownState,
 ) -> tuple[KnownState, list[StateChange]]:
-    """Take in the configuration that was held back, if none has come since."""
-    learnt: list[StateChange] = []
+    """Apply the held-back configuration, if none has replaced it since."""
+    state_changes: list[StateChange] = []
     if known_state.held_back_configuration is not None:
         read = ConfigurationRead(known_state.held_back_configuration)
-        known_state = _take_wish(known_state, read, None, learnt)
-    return known_state, learnt
+        known_state = _apply_change(known_state, read, None, state_changes)
+    return known_state, state_changes
 
 
 class PeerReport(NamedTuple):
-    """What another process tells: when it learnt of a named version.
+    """Another process's report of when it read of a named version.
 
-    `at` is in monotonic seconds of this process, None if the other could not
-    tell.
+    `at` is in monotonic seconds of this process, None if the other process
+    does not know.
     """
 
     model: str
@@ -146,77 +151,80 @@
 
 
 def apply_peer_reports(
-    known_state: KnownState, told: Sequence[PeerReport], now: float
+    known_state: KnownState, reports: Sequence[PeerReport], now: float
 ) -> tuple[KnownState, list[StateChange]]:
-    """Take in when others learnt of versions.
+    """Apply other processes' reports of when versions were named.
 
-    One that starts can't tell when a version was named. A process that has
-    read the wishes before then takes it as named now, as if it had read of
-    it by itself. Without this, an entry that restarts while the store is
-    away would end the version that all engines hold for everybody.
+    A process that has just started can't tell when a version was named. A
+    process that has read the desired state before takes such a version as
+    named now, as if it had read of it itself. Otherwise an entry that
+    restarts while the store is unreachable would make all processes stop
+    using the version that all engines still hold.
     """
-    learnt = []
+    state_changes = []
     histories = dict(known_state.histories)
-    for item in told:
-        before = histories.get(item.model, versions.History())
-        if item.at is None:
+    for report in reports:
+        before = histories.get(report.model, versions.History())
+        if report.at is None:
             at = now if known_state.routes is not None else None
-            after = versions.add_version(before, item.version, at)
+            after = versions.add_version(before, report.version, at)
         else:
-            after = versions.add_report(before, item.version, item.at)
+            after = versions.add_report(before, report.version, report.at)
         if after == before:
             continue
-        histories[item.model] = after
-        age_s = None if item.at is None else now - item.at
-        learnt.append(
+        histories[report.model] = after
+        age_s = None if report.at is None else now - report.at
+        state_changes.append(
             StateChange(
                 'version_heard',
                 {
-                    'model': item.model,
-                    'version': item.version,
+                    'model': report.model,
+                    'version': report.version,
                     'before': before.newest,
                     'age_ms': None if age_s is None else int(age_s * 1000),
                 },
             )
         )
-    return known_state._replace(histories=histories), learnt
+    return known_state._replace(histories=histories), state_changes
 
 
 def apply_reported_requirements(
-    known_state: KnownState, told: AgentRequirements
+    known_state: KnownState, reported: AgentRequirements
 ) -> tuple[KnownState, list[StateChange]]:
-    """Take in what an entry says that an agent needs; never goes back."""
+    """Apply requirements that an entry reports, unless they are older."""
     before = known_state.reported_requirements
-    if before is not None and told.configuration <= before.configuration:
+    if before is not None and reported.configuration <= before.configuration:
         return known_state, []
-    learnt = StateChange(
+    state_change = StateChange(
         'needs_heard',
         {
-            'version': told.configuration,
+            'version': reported.configuration,
             'before': before.configuration if before else None,
-            'models': ','.join(told.models),
-            'slots': told.slots,
-            'origin': told.origin,
+            'models': ','.join(reported.models),
+            'slots': reported.slots,
+            'origin': reported.origin,
         },
     )
-    return known_state._replace(reported_requirements=told), [learnt]
+    return known_state._replace(reported_requirements=reported), [state_change]
 
 
 def apply_restored_upstreams(
     known_state: KnownState, batch: Batch, now: float
 ) -> tuple[KnownState, list[StateChange]]:
-    """Take in the whole list of a store that came back from a copy."""
+    """Apply the complete list of a store that was restored from a copy."""
     before = known_state.upstreams
     listed = [c for c in batch.changes if isinstance(c, UpstreamListed)]
     after = listing.on_restored(before, listed, batch.position, now)
-    learnt = _compared(before, after)
-    return known_state._replace(upstreams=after, upstreams_listed=True), learnt
+    state_changes = _upstream_changes(before, after)
+    return known_state._replace(
+        upstreams=after, upstreams_listed=True
+    ), state_changes
 
 
 def apply_upstreams(
     known_state: KnownState, batch: Batch, now: float
 ) -> tuple[KnownState, list[StateChange]]:
-    """Take in what the list says of upstreams."""
+    """Apply changes of the list of upstreams."""
     before = known_state.upstreams
     after = before
     for change in batch.changes:
@@ -232,22 +240,24 @@
         }
         after = listing.on_complete_list(after, names, batch.position, now)
     after = listing.on_tick(after, now)
-    learnt = [] if after is before else _compared(before, after)
-    return known_state._replace(upstreams=after, upstreams_listed=True), learnt
+    state_changes = [] if after is before else _upstream_changes(before, after)
+    return known_state._replace(
+        upstreams=after, upstreams_listed=True
+    ), state_changes
 
 
-def _take_wish(
+def _apply_change(
     known_state: KnownState,
     change: Change,
     at: float | None,
-    learnt: list[StateChange],
+    state_changes: list[StateChange],
 ) -> KnownState:
     if isinstance(change, ConfigurationRead):
         new = change.configuration
         old = known_state.routes.configuration if known_state.routes else None
         if old is not None and new.version <= old.version:
             return known_state
-        learnt.append(
+        state_changes.append(
             StateChange(
                 'configuration_learnt',
                 {
@@ -265,7 +275,7 @@
         history = versions.add_version(old_history, change.version, at)
         if history == old_history:
             return known_state
-        learnt.append(
+        state_changes.append(
             StateChange(
                 'version_named',
                 {
@@ -278,7 +288,7 @@
         histories = {**known_state.histories, change.model: history}
         return known_state._replace(histories=histories)
     if isinstance(change, UnreadableRecord):
-        learnt.append(
+        state_changes.append(
             StateChange(
                 'record_unreadable',
                 {'key': change.key, 'reason': change.reason},
@@ -287,16 +297,20 @@
     return known_state
 
 
-def _compared(before: UpstreamList, after: UpstreamList) -> list[StateChange]:
-    learnt = []
+def _upstream_changes(
+    before: UpstreamList, after: UpstreamList
+) -> list[StateChange]:
+    state_changes = []
     for name in before.known.keys() - after.known.keys():
-        learnt.append(StateChange('upstream_gone', {'upstream': name}))
+        state_changes.append(StateChange('upstream_gone', {'upstream': name}))
     for name, known in after.known.items():
         old = before.known.get(name)
-        if old is not None and _said(old.upstream) == _said(known.upstream):
+        if old is not None and _without_warmup(
+            old.upstream
+        ) == _without_warmup(known.upstream):
             continue
         upstream = known.upstream
-        learnt.append(
+        state_changes.append(
             StateChange(
                 'upstream_learnt',
                 {
@@ -313,9 +327,9 @@
                 },
             )
         )
-    return learnt
+    return state_changes
 
 
-def _said(upstream: Upstream) -> Upstream:
-    # How long it stays slow counts down with every record.
+def _without_warmup(upstream: Upstream) -> Upstream:
+    # `warm_in_s` counts down with every record; that is no change to log.
     return upstream._replace(warm_in_s=0.0)
--- a/packages/burdockchute/tests/test_known_state.py
+++ b/packages/burdockchute/tests/test_known_state.py
@@ -1,4 +1,4 @@
-"""Configuration and versions never go back within a process."""
+"""Tests that configurations and versions never go back in a process."""
 
 from __future__ import annotations
 
@@ -27,8 +27,11 @@
     return ConfigurationRead(Configuration(version, (), (), None, LIMITS))
 
 
-class FreshStartTest(unittest.TestCase):
-    """The store is back from a copy, with a key that was revoked since."""
+class StartupTest(unittest.TestCase):
+    """A process starts after the store was restored from an old copy.
+
+    The old configuration in it still has a key that was revoked since.
+    """
 
     def read(self, known_state, version, least):
         batch = Batch(Position(1, 3), True, (configuration(version),))
@@ -37,25 +40,27 @@
         )
 
     def test_an_older_configuration_than_neighbours_know_is_held_back(self):
-        after, learnt = self.read(KnownState(), 6, 7)
+        after, state_changes = self.read(KnownState(), 6, 7)
         self.assertIsNone(after.routes)
         self.assertEqual(
-            ['configuration_held_back'], [x.event for x in learnt]
+            ['configuration_held_back'], [x.event for x in state_changes]
         )
-        again, _learnt = self.read(after, 7, 7)
+        again, _changes = self.read(after, 7, 7)
         self.assertEqual(7, again.routes.configuration.version)
         self.assertEqual((again, []), state_updates.apply_held_back(again))
 
-    def test_it_is_served_where_nobody_writes_the_newer_one_again(self):
-        after, _learnt = self.read(KnownState(), 6, 7)
-        served, learnt = state_updates.apply_held_back(after)
+    def test_it_is_applied_if_the_newer_one_is_not_written_again(self):
+        after, _changes = self.read(KnownState(), 6, 7)
+        served, state_changes = state_updates.apply_held_back(after)
         self.assertEqual(6, served.routes.configuration.version)
-        self.assertEqual(['configuration_learnt'], [x.event for x in learnt])
+        self.assertEqual(
+            ['configuration_learnt'], [x.event for x in state_changes]
+        )
 
     def test_a_running_process_is_bound_by_what_it_has_read(self):
-        """A neighbour that reads faster makes no other one unready."""
-        running, _learnt = self.read(KnownState(), 6, 0)
-        after, _learnt = self.read(running, 6, 7)
+        """A neighbour that reads sooner does not make it unready."""
+        running, _changes = self.read(KnownState(), 6, 0)
+        after, _changes = self.read(running, 6, 7)
         self.assertEqual(6, after.routes.configuration.version)
 
 
@@ -66,18 +71,18 @@
 )
 
 
-class BeliefsTest(unittest.TestCase):
+class KnownStateTest(unittest.TestCase):
     @given(st.lists(st.lists(CHANGES, max_size=4), max_size=8))
-    def test_whatever_is_read_nothing_goes_back(self, batches):
+    def test_no_sequence_of_reads_goes_back(self, batches):
         """Records are read twice, late, from pages and out of order.
 
-        An operator who took a key away would see it work again.
+        Going back would make a key work again that an operator revoked.
         """
         known_state = KnownState()
         for number, changes in enumerate(batches):
             version = _versions(known_state)
             batch = Batch(Position(0, number), number == 0, tuple(changes))
-            known_state, _learnt = state_updates.apply_desired_state(
+            known_state, _changes = state_updates.apply_desired_state(
                 known_state, batch, number == 0, float(number)
             )
             after = _versions(known_state)
@@ -90,73 +95,75 @@
             self.assertGreaterEqual(after[0], max(newest, default=0))
 
     @given(st.lists(st.integers(1, 9), max_size=8), st.integers(0, 9))
-    def test_told_needs_do_not_go_back(self, told, read):
-        """Entries tell an agent of configurations late and out of order.
+    def test_reported_requirements_do_not_go_back(self, reported, read):
+        """Entries report configurations late and out of order.
 
-        An agent that went back to an origin that has moved would fetch
-        nothing more.
+        An agent that went back to the address of an origin that has moved
+        could fetch no weights.
         """
         known_state = KnownState()
         if read:
             batch = Batch(Position(0, 0), True, (configuration(read),))
-            known_state, _learnt = state_updates.apply_desired_state(
+            known_state, _changes = state_updates.apply_desired_state(
                 known_state, batch, True, 0.0
             )
         newest = read
-        for version in told:
-            needs = AgentRequirements(version, ('story',), 4, '10.0.0.1:80')
-            known_state, _learnt = state_updates.apply_reported_requirements(
-                known_state, needs
+        for version in reported:
+            requirements = AgentRequirements(
+                version, ('story',), 4, '10.0.0.1:80'
+            )
+            known_state, _changes = state_updates.apply_reported_requirements(
+                known_state, requirements
             )
             newest = max(newest, version)
             known = known_state.agent_requirements('drafts')
             self.assertEqual(newest, known.configuration)
 
-    def test_a_fresh_process_ends_no_version_for_the_others(self):
-        """An entry that restarted is the first to read of a new version.
+    def test_a_restarted_process_does_not_end_a_version_elsewhere(self):
+        """A restarted entry is the first to read of a new version.
 
-        The store was away, and it can't tell when the version was named. If
-        the others took that for long ago, none of them would let the version
-        that all engines hold begin anything, and every caller would be
-        refused until the new one is copied.
+        The store was unreachable, so it can't tell when the version was
+        named. If other processes took that as long ago, they would start no
+        request on the version that all engines hold, and every caller would
+        be refused until the new version is copied.
         """
         batch = Batch(
             Position(0, 0), True, (configuration(1), VersionRead('story', 1))
         )
-        running, _learnt = state_updates.apply_desired_state(
+        running, _changes = state_updates.apply_desired_state(
             KnownState(), batch, True, 0.0
         )
-        told = [PeerReport('story', 2, None)]
-        running, _learnt = state_updates.apply_peer_reports(
-            running, told, 60.0
+        reports = [PeerReport('story', 2, None)]
+        running, _changes = state_updates.apply_peer_reports(
+            running, reports, 60.0
         )
         history = running.history('story')
         self.assertEqual(1, versions.least_allowed(history, 8.0, 62.0))
         self.assertEqual(2, versions.least_allowed(history, 8.0, 69.0))
 
-    def test_two_fresh_processes_do_not_vouch_for_an_old_version(self):
-        """Everything restarts long after a version was named.
+    def test_two_started_processes_do_not_extend_an_old_version(self):
+        """All processes restart long after a version was named.
 
-        Whoever has read nothing yet knows no more than who tells of it; the
-        version before must begin nothing.
+        A process that has read nothing yet knows no more than the one that
+        reports the version; no request may start on the version before it.
         """
-        told = [PeerReport('story', 2, None)]
-        fresh, _learnt = state_updates.apply_peer_reports(
-            KnownState(), told, 60.0
+        reports = [PeerReport('story', 2, None)]
+        started, _changes = state_updates.apply_peer_reports(
+            KnownState(), reports, 60.0
         )
-        history = fresh.history('story')
+        history = started.history('story')
         self.assertEqual(2, versions.least_allowed(history, 8.0, 60.0))
 
-    def test_each_change_of_belief_is_told(self):
+    def test_each_change_of_the_state_is_reported(self):
         batch = Batch(
             Position(0, 3), True, (configuration(4), VersionRead('story', 2))
         )
-        _beliefs, learnt = state_updates.apply_desired_state(
+        _known_state, state_changes = state_updates.apply_desired_state(
             KnownState(), batch, True, 0.0
         )
         self.assertEqual(
             ['configuration_learnt', 'version_named'],
-            [item.event for item in learnt],
+            [item.event for item in state_changes],
         )
 
 
