--- a/packages/burdockchute/burdockchute/model/checks.py
+++ b/packages/burdockchute/burdockchute/model/checks.py
@@ -1,7 +1,7 @@
-"""Checks of rows: from the text of a CSV cell or the values of JSON.
+"""Parsing and validation of rows, from CSV cells or JSON values.
 
-Every column of a row is checked before anything is reported, so that one
-reading of the findings is enough to mend the whole row.
+Every column of a row is checked before anything is reported, so that an
+operator can correct the row in one pass.
 
 >>> check_row('service', {'name': 'proofs', 'slots': '2'}, 'rows.csv:2')
 <Success: ServiceRow(name='proofs', placement='*', idempotent=True, \
@@ -29,9 +29,9 @@
 
 MAX_NAME_CHARS = 128
 MAX_TEXT_CHARS = 4096
-PLACEMENT_SORTS = ('instance', 'pool', 'region', 'zone')
+PLACEMENT_TERMS = ('instance', 'pool', 'region', 'zone')
 
-# Stands for empty text where an empty cell means the default.
+# Marks empty text, since an empty cell means the default.
 EMPTY_CELL = '-'
 
 Check = Callable[[Any], str]
@@ -45,10 +45,10 @@
 def check_row(
     kind: str, values: Mapping[str, object], place: str
 ) -> Result[Row, list[Finding]]:
-    """Give the row, or every finding with its place and column.
+    """Return the row, or every finding with its place and column.
 
-    Values are text as in a cell, or JSON values. A column that is missing
-    or None has its default; an unknown column is a finding.
+    Values are the text of cells or JSON values. A column that is missing or
+    None gets its default; an unknown column is a finding.
     """
     if kind not in ROW_TYPES:
         text = findings.not_one_of(kind, ROW_TYPES)
@@ -77,22 +77,22 @@
 
 
 def columns_of(kind: str) -> tuple[str, ...]:
-    """Give the columns of a kind of row, in their order."""
+    """Return the columns of a kind of row, in order."""
     return ROW_TYPES[kind]._fields  # type: ignore[attr-defined]
 
 
 def values_of(row: Row) -> dict[str, Any]:
-    """Give the row as JSON values by column."""
+    """Return the row as JSON values by column."""
     return row._asdict()
 
 
 def cells_of(row: Row) -> dict[str, str]:
-    """Give the row as cells of CSV; `check_row` reads them back the same."""
+    """Return the row as CSV cells; `check_row` restores the same row."""
     return {name: _cell(value) for name, value in row._asdict().items()}
 
 
 def read_cell(text: str) -> str | None:
-    """Give a cell's text, None where the cell leaves the default."""
+    """Return a cell's text, None for an empty cell (the default)."""
     text = text.strip()
     if not text:
         return None
@@ -100,14 +100,14 @@
 
 
 def parse_key(text: str) -> RowKey:
-    """Take 'kind/name'; raises ValueError for anything else."""
+    """Return the key that 'kind/name' stands for; raises ValueError."""
     kind, slash, name = text.partition('/')
     if not slash or kind not in ROW_TYPES:
         raise ValueError(
             f'{text!r} is not KIND/NAME with KIND one of '
             + ', '.join(sorted(ROW_TYPES))
         )
-    _raise_if(_name(name))
+    _raise_problem(_check_name(name))
     return RowKey(kind, name)
 
 
@@ -115,11 +115,11 @@
     parsed = _PARSERS[_HINTS[kind][column]](value)
     check = _CHECKS.get((kind, column)) or _CHECKS.get(('', column))
     if check is not None:
-        _raise_if(check(parsed))
+        _raise_problem(check(parsed))
     return parsed
 
 
-def _raise_if(problem: str) -> None:
+def _raise_problem(problem: str) -> None:
     if problem:
         raise ValueError(problem)
 
@@ -145,25 +145,25 @@
 
 
 def _parse_int(value: object) -> int:
-    wrong = ValueError(f'{value!r} is not a whole number')
+    error = ValueError(f'{value!r} is not a whole number')
     if isinstance(value, bool) or not isinstance(value, int | str):
-        raise wrong
+        raise error
     try:
         return int(value)
     except ValueError:
-        raise wrong from None
+        raise error from None
 
 
 def _parse_float(value: object) -> float:
-    wrong = ValueError(f'{value!r} is not a number')
+    error = ValueError(f'{value!r} is not a number')
     if isinstance(value, bool) or not isinstance(value, int | float | str):
-        raise wrong
+        raise error
     try:
         number = float(value)
     except (ValueError, OverflowError):
-        raise wrong from None
+        raise error from None
     if not math.isfinite(number):
-        raise wrong
+        raise error
     return number
 
 
@@ -178,7 +178,7 @@
     raise ValueError(f'{value!r} is not yes or no')
 
 
-def _name(value: str) -> str:
+def _check_name(value: str) -> str:
     if _NAME.match(value) and len(value) <= MAX_NAME_CHARS:
         return ''
     return (
@@ -187,36 +187,36 @@
     )
 
 
-def _name_or_all(value: str) -> str:
-    return '' if value == '*' else _name(value)
+def _check_name_or_all(value: str) -> str:
+    return '' if value == '*' else _check_name(value)
 
 
-def _names(value: str) -> str:
-    wrong = [part for part in _parts(value) if _name_or_all(part)]
-    return _name(wrong[0]) if wrong else ''
+def _check_names(value: str) -> str:
+    invalid = [part for part in _parts(value) if _check_name_or_all(part)]
+    return _check_name(invalid[0]) if invalid else ''
 
 
-def _digest(value: str) -> str:
+def _check_digest(value: str) -> str:
     if _DIGEST.match(value):
         return ''
     return f'{value!r} is not a blake3 digest of 64 hex digits'
 
 
-def _digests(value: str) -> str:
+def _check_digests(value: str) -> str:
     for part in _parts(value):
-        if problem := _digest(part):
+        if problem := _check_digest(part):
             return problem
     return ''
 
 
-def _placement(value: str) -> str:
+def _check_placement(value: str) -> str:
     for part in _parts(value):
         if part == '*':
             continue
-        sort, colon, name = part.partition(':')
-        if not colon or sort not in PLACEMENT_SORTS or _name(name):
-            sorts = ', '.join(f'{sort}:NAME' for sort in PLACEMENT_SORTS)
-            return f'{part!r} is not one of *, {sorts}'
+        term, colon, name = part.partition(':')
+        if not colon or term not in PLACEMENT_TERMS or _check_name(name):
+            terms = ', '.join(f'{term}:NAME' for term in PLACEMENT_TERMS)
+            return f'{part!r} is not one of *, {terms}'
     return ''
 
 
@@ -224,7 +224,7 @@
     return [part.strip() for part in value.split(',') if part.strip()]
 
 
-def _from_to(low: float, high: float) -> Check:
+def _in_closed_range(low: float, high: float) -> Check:
     def check(value: float) -> str:
         if low <= value <= high:
             return ''
@@ -233,7 +233,7 @@
     return check
 
 
-def _over_to(low: float, high: float) -> Check:
+def _above_up_to(low: float, high: float) -> Check:
     def check(value: float) -> str:
         if low < value <= high:
             return ''
@@ -252,28 +252,28 @@
 
 _MILLION = 1_000_000
 _CHECKS: dict[tuple[str, str], Check] = {
-    ('', 'name'): _name,
-    ('', 'version'): _name,
-    ('', 'digest'): _digest,
-    ('', 'placement'): _placement,
-    ('', 'origin_copies'): _over_to(0, 100),
-    ('', 'max_waiting'): _from_to(0, _MILLION),
-    ('model', 'replicas'): _from_to(0, _MILLION),
-    ('model', 'loading_share'): _over_to(0, 1),
-    ('model', 'long_tokens'): _from_to(1, _MILLION * 10),
-    ('model', 'long_share'): _over_to(0, 1),
-    ('adapter', 'base'): _name,
-    ('customer', 'key_digests'): _digests,
-    ('customer', 'models'): _names,
-    ('customer', 'requests_per_s'): _from_to(0, _MILLION),
-    ('customer', 'tokens_per_s'): _from_to(0, _MILLION * 1000),
-    ('customer', 'burst_s'): _over_to(0, 3600),
-    ('customer', 'priority'): _from_to(-100, 100),
-    ('service', 'slots'): _from_to(1, 100_000),
-    ('objective', 'customer'): _name_or_all,
-    ('objective', 'model'): _name_or_all,
-    ('objective', 'first_token_s'): _over_to(0, 3600),
-    ('objective', 'token_interval_s'): _over_to(0, 3600),
-    ('objective', 'latency_share'): _over_to(0, 1),
-    ('objective', 'availability'): _over_to(0, 1),
+    ('', 'name'): _check_name,
+    ('', 'version'): _check_name,
+    ('', 'digest'): _check_digest,
+    ('', 'placement'): _check_placement,
+    ('', 'origin_copies'): _above_up_to(0, 100),
+    ('', 'max_waiting'): _in_closed_range(0, _MILLION),
+    ('model', 'replicas'): _in_closed_range(0, _MILLION),
+    ('model', 'loading_share'): _above_up_to(0, 1),
+    ('model', 'long_tokens'): _in_closed_range(1, _MILLION * 10),
+    ('model', 'long_share'): _above_up_to(0, 1),
+    ('adapter', 'base'): _check_name,
+    ('customer', 'key_digests'): _check_digests,
+    ('customer', 'models'): _check_names,
+    ('customer', 'requests_per_s'): _in_closed_range(0, _MILLION),
+    ('customer', 'tokens_per_s'): _in_closed_range(0, _MILLION * 1000),
+    ('customer', 'burst_s'): _above_up_to(0, 3600),
+    ('customer', 'priority'): _in_closed_range(-100, 100),
+    ('service', 'slots'): _in_closed_range(1, 100_000),
+    ('objective', 'customer'): _check_name_or_all,
+    ('objective', 'model'): _check_name_or_all,
+    ('objective', 'first_token_s'): _above_up_to(0, 3600),
+    ('objective', 'token_interval_s'): _above_up_to(0, 3600),
+    ('objective', 'latency_share'): _above_up_to(0, 1),
+    ('objective', 'availability'): _above_up_to(0, 1),
 }
--- a/packages/burdockchute/burdockchute/model/findings.py
+++ b/packages/burdockchute/burdockchute/model/findings.py
@@ -1,7 +1,7 @@
-"""Findings: what is wrong with an input, and where.
+"""Findings: what is invalid in an input, and where.
 
-Checks collect every finding before they report, so that an operator mends a
-file in one go.
+Checks collect every finding before they report, so that an operator can
+correct a file in one pass.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Finding(NamedTuple):
-    """One thing that is wrong, with its place.
+    """One problem in an input, with its location.
 
     >>> print(render(Finding('rows.csv:3:limit', "'x' is no number")))
     rows.csv:3:limit: 'x' is no number
@@ -22,15 +22,15 @@
 
 
 def render(finding: Finding) -> str:
-    """Give one line for an operator."""
+    """Return the finding as one line for an operator."""
     return f'{finding.place}: {finding.text}'
 
 
 def render_all(findings: Iterable[Finding]) -> str:
-    """Give one line for each finding, in the order of their places."""
+    """Return one line for each finding, sorted by location."""
     return '\n'.join(render(finding) for finding in sorted(findings))
 
 
 def not_one_of(value: object, choices: Iterable[str]) -> str:
-    """Say that a value is none of the valid choices."""
+    """Return the message for a value that is not a valid choice."""
     return f'{value!r} is not one of {", ".join(sorted(choices))}'
--- a/packages/burdockchute/tests/test_checks.py
+++ b/packages/burdockchute/tests/test_checks.py
@@ -1,4 +1,4 @@
-"""Checks of rows from cells and JSON values."""
+"""Tests of the validation of rows from cells and JSON values."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
             sorted(finding.place for finding in found),
         )
 
-    def test_values_of_the_wrong_sort(self):
+    def test_values_of_the_wrong_type(self):
         for column, value, text in (
             ('replicas', True, 'True is not a whole number'),
             ('replicas', 1.5, '1.5 is not a whole number'),
