--- a/packages/burdockchute/burdockchute/model/positions.py
+++ b/packages/burdockchute/burdockchute/model/positions.py
@@ -1,4 +1,4 @@
-"""Where a record stands in a feed."""
+"""Positions of records in a feed."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 class Position(NamedTuple):
     """An offset within one era of the platform's store.
 
-    A store that comes back from a copy gives out again the offsets that it
-    has lost, so an offset alone names no record. `era` counts the returns
-    that this process has seen; a store that names none stays in era 0.
+    A store that is restored from a copy assigns the offsets of lost records
+    again, so an offset alone does not identify a record. `era` counts the
+    restores that this process has seen; it stays 0 for a store that does not
+    report any.
 
     >>> Position(1, 40) < Position(1, 52) < Position(2, 41)
     True
--- a/packages/burdockchute/burdockchute/model/references.py
+++ b/packages/burdockchute/burdockchute/model/references.py
@@ -1,8 +1,9 @@
-"""Checks between rows: what one row names must be there.
+"""Checks of references between rows: a row that is named must exist.
 
-Made before an edit is appended. The reducer does not repeat them, since it
-takes records in the log's order and two edits that are each sound can cross;
-every process copes with a row that names another which is not there.
+They are made before an edit is appended. The reducer does not repeat them:
+it applies records in the log's order, and two concurrent edits that are each
+valid can together leave a reference without its row. So every process
+tolerates a reference to a row that does not exist.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 def new_problems(before: Rows, after: Rows) -> list[Finding]:
-    """Give what is wrong between the rows after an edit but was not before.
+    """Return the problems between rows that an edit would introduce.
 
     The place of a finding is 'kind/name:column'.
     """
@@ -34,23 +35,23 @@
 
 
 def problems(rows: Rows) -> list[Finding]:
-    """Give every row that names what is not there or is ambiguous."""
+    """Return a finding for each missing row and each ambiguous name."""
     found: list[Finding] = []
     for key, row in sorted(rows.items()):
         if isinstance(row, AdapterRow):
-            _need(rows, ('model',), row.base, f'{key}:base', found)
+            _require_row(rows, ('model',), row.base, f'{key}:base', found)
         elif isinstance(row, CustomerRow):
-            for name in _names(row.models):
-                _need(rows, TARGET_KINDS, name, f'{key}:models', found)
+            for name in _split_names(row.models):
+                _require_row(rows, TARGET_KINDS, name, f'{key}:models', found)
         elif isinstance(row, ObjectiveRow):
             kinds = ('customer',)
-            _need(rows, kinds, row.customer, f'{key}:customer', found)
-            _need(rows, TARGET_KINDS, row.model, f'{key}:model', found)
-    return found + _ambiguous(rows)
+            _require_row(rows, kinds, row.customer, f'{key}:customer', found)
+            _require_row(rows, TARGET_KINDS, row.model, f'{key}:model', found)
+    return found + _ambiguous_names(rows)
 
 
-def _ambiguous(rows: Rows) -> list[Finding]:
-    # A caller names a target without its kind.
+def _ambiguous_names(rows: Rows) -> list[Finding]:
+    # A caller names a target without its kind, so names must be unique.
     found = []
     for key in sorted(rows):
         if key.kind not in TARGET_KINDS:
@@ -63,8 +64,8 @@
 
 
 def _reused_versions(before: Rows, after: Rows) -> list[Finding]:
-    # Two sets of bytes under one version can't be told apart by the people
-    # who look for the one that misbehaves.
+    # Two different sets of weights under one version could not be told
+    # apart by an operator who looks for the one that misbehaves.
     found = []
     for key, row in sorted(after.items()):
         old = before.get(key)
@@ -81,7 +82,7 @@
     return found
 
 
-def _need(
+def _require_row(
     rows: Rows,
     kinds: tuple[str, ...],
     name: str,
@@ -94,5 +95,5 @@
     found.append(Finding(place, text))
 
 
-def _names(text: str) -> list[str]:
+def _split_names(text: str) -> list[str]:
     return [part.strip() for part in text.split(',') if part.strip()]
--- a/packages/burdockchute/burdockchute/model/rows.py
+++ b/packages/burdockchute/burdockchute/model/rows.py
@@ -1,8 +1,8 @@
 """Rows of the table that operators edit.
 
-A row is named by its kind and name. Each kind is a NamedTuple of plain
-values with defaults, so that a row can be read from CSV or JSON, compared
-and shown column by column.
+A row is identified by its kind and name. Each kind is a NamedTuple of plain
+values with defaults, so that a row can be read from CSV or JSON, and
+compared and shown column by column.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class RowKey(NamedTuple):
-    """Name of a row, written 'kind/name'."""
+    """The key of a row, written 'kind/name'."""
 
     kind: str
     name: str
@@ -25,15 +25,16 @@
 class ModelRow(NamedTuple):
     """Weights that instances serve.
 
-    `placement` is a comma list of `pool:NAME`, `zone:NAME`, `region:NAME`
-    and `instance:NAME`; an instance matches if it matches one term of each
-    sort that is named; empty matches none and '*' all. `replicas` limits how
-    many of the matching instances serve the row, 0 for all. `loading_share`
-    is the part of the replicas that may load at once, over 0 to 1.
+    `placement` is a comma-separated list of the terms `pool:NAME`,
+    `zone:NAME`, `region:NAME` and `instance:NAME`. An instance matches if,
+    for each type of term in the list, it matches at least one term; an empty
+    list matches no instance and '*' all. `replicas` limits how many of the
+    matching instances serve the row, 0 for all. `loading_share` is the
+    fraction of the replicas that may load at once, above 0 and up to 1.
     `origin_copies` is how many copies may be read from the origin in a
-    rollout. `max_waiting` bounds requests that wait at one entry.
-    `long_tokens` is the size from which a request counts as long work and
-    `long_share` the part of the slots that long work may take.
+    rollout. `max_waiting` bounds the requests that wait at one entry. A
+    request of at least `long_tokens` counts as long; long requests may take
+    the fraction `long_share` of the slots.
     """
 
     name: str
@@ -50,7 +51,7 @@
 
 
 class AdapterRow(NamedTuple):
-    """An adapter on a base model; lives where the base model lives."""
+    """An adapter of a base model; placed where its base model is placed."""
 
     name: str
     version: str
@@ -60,11 +61,12 @@
 
 
 class CustomerRow(NamedTuple):
-    """Who may call, and how much.
+    """A customer, its keys and its rate limits.
 
-    `key_digests` is a comma list of blake3 hex digests of bearer keys.
-    `models` is a comma list of the model, adapter and service names that the
-    customer may call, '*' for all. Limits are per second over all entries.
+    `key_digests` is a comma-separated list of blake3 hex digests of bearer
+    keys. `models` is a comma-separated list of the models, adapters and
+    services that the customer may call, '*' for all. Limits are per second
+    over all entries together.
     """
 
     name: str
@@ -77,10 +79,10 @@
 
 
 class ServiceRow(NamedTuple):
-    """A plain service behind the system.
+    """A service other than a model that the system forwards requests to.
 
-    `idempotent` false makes every call to it run at most once, with an
-    idempotency key.
+    With `idempotent` false each call must have an idempotency key and runs
+    at most once.
     """
 
     name: str
@@ -91,7 +93,7 @@
 
 
 class ObjectiveRow(NamedTuple):
-    """A service-level objective of a customer ('*' for each) on a model."""
+    """A service-level objective of a customer on a model, '*' for each."""
 
     name: str
     customer: str = '*'
@@ -114,7 +116,7 @@
 
 
 def key_of(row: Row) -> RowKey:
-    """Give the key of a row.
+    """Return the key of a row.
 
     >>> str(key_of(ServiceRow('proofs')))
     'service/proofs'
--- a/packages/burdockchute/burdockchute/model/table.py
+++ b/packages/burdockchute/burdockchute/model/table.py
@@ -1,4 +1,4 @@
-"""The table as every process holds it."""
+"""The table of rows as each process holds it in memory."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Revisioned(NamedTuple):
-    """A row with the log offset of the edit that made it."""
+    """A row with the log offset of the edit that wrote it."""
 
     row: Row
     revision: int
@@ -39,9 +39,9 @@
 class Table(NamedTuple):
     """All rows after the record at `offset` was applied, -1 for none.
 
-    `seen` has the ids of the most recent edit records, oldest first, so that
-    a second copy of one is known; `forgotten` is the offset of the newest
-    that was dropped from it, -1 for none.
+    `seen` has the ids of the most recent edit records, oldest first, to
+    recognise duplicates. `forgotten` is the offset of the newest record that
+    was dropped from `seen`, -1 for none.
 
     >>> models(EMPTY_TABLE)
     {}
@@ -57,10 +57,10 @@
 
 
 def find_row(table: Table, row_type: type[RowT], name: str) -> RowT | None:
-    """Give the row of a type by its name, None if there is none.
+    """Return the row of a type by its name, None if there is none.
 
-    It does not depend on how many rows there are; the functions below go
-    through all of them, which at 10,000 rows takes milliseconds.
+    The lookup takes constant time. The functions below scan all rows, which
+    takes milliseconds for 10,000 rows.
     """
     found = table.rows.get(RowKey(_KINDS[row_type], name))
     if found is None or not isinstance(found.row, row_type):
@@ -69,27 +69,27 @@
 
 
 def models(table: Table) -> dict[str, ModelRow]:
-    """Give the model rows by name."""
+    """Return the model rows by name."""
     return {row.name: row for row in _of_type(table, ModelRow)}
 
 
 def adapters(table: Table) -> dict[str, AdapterRow]:
-    """Give the adapter rows by name."""
+    """Return the adapter rows by name."""
     return {row.name: row for row in _of_type(table, AdapterRow)}
 
 
 def customers(table: Table) -> dict[str, CustomerRow]:
-    """Give the customer rows by name."""
+    """Return the customer rows by name."""
     return {row.name: row for row in _of_type(table, CustomerRow)}
 
 
 def services(table: Table) -> dict[str, ServiceRow]:
-    """Give the service rows by name."""
+    """Return the service rows by name."""
     return {row.name: row for row in _of_type(table, ServiceRow)}
 
 
 def objectives(table: Table) -> dict[str, ObjectiveRow]:
-    """Give the objective rows by name."""
+    """Return the objective rows by name."""
     return {row.name: row for row in _of_type(table, ObjectiveRow)}
 
 
