--- a/packages/burdockchute/burdockchute/model/deltas.py
+++ b/packages/burdockchute/burdockchute/model/deltas.py
@@ -1,10 +1,10 @@
-"""Deltas: how a table goes from one process to the next.
+"""Deltas, which carry changes of the table between processes.
 
-A delta has every row that was touched between two offsets, as it is at the
-later one, so it may be applied to any table in between. It moves a table
-only forward: a process that was paused and resumed, or was cut off, can hand
-out rows that are hours old, and applying them would take a configuration
-back that is already in force.
+A delta has every row that was changed between two offsets, as it is at the
+later one, so it can be applied to any table in between. It only moves a
+table forward: a process that was paused or cut off from the network can send
+rows that are hours old, and applying them would revert a configuration that
+is already in effect.
 """
 
 from __future__ import annotations
@@ -30,34 +30,34 @@
 from burdockchute.model.table import Table
 from burdockchute.wire import messages
 
-# Enough changes for a peer that was away for an hour of the busiest site's
-# 41,000 a day; one further behind gets the whole table.
+# Covers an hour of changes at the busiest site (41,000 a day); a peer that is
+# further behind gets the full table.
 MAX_KEPT_CHANGES = 2048
 
 AGENT_KINDS = ('model', 'adapter', 'service')
 
 
 class FullTableNeeded(NamedTuple):
-    """The delta starts beyond what is held; ask for the whole table."""
+    """The delta starts after the offset `held`; request the full table."""
 
     held: int
     from_offset: int
 
 
 class Applied(NamedTuple):
-    """The table after a delta, and rows in it that could not be read."""
+    """The table after a delta, and findings on rows that were skipped."""
 
     table: Table
     findings: tuple[Finding, ...] = ()
 
 
 def full_table(table: Table, with_seen: bool = False) -> messages.TableDelta:
-    """Give the whole table.
+    """Return the full table as a delta.
 
-    `with_seen` adds the ids of recent records, which a process needs that
-    will apply records of the log itself.
+    `with_seen` adds the ids of recent records, which the receiver needs if
+    it applies records of the log itself.
     """
-    delta = _delta(NO_OFFSET, table, table.rows)
+    delta = _make_delta(NO_OFFSET, table, table.rows)
     if with_seen:
         delta.seen = [messages.SeenRecord(*seen) for seen in table.seen]
         delta.forgotten = table.forgotten
@@ -65,10 +65,10 @@
 
 
 def filter_for_agents(delta: messages.TableDelta) -> messages.TableDelta:
-    """Leave out the rows that agents have no use for.
+    """Remove the rows that agents do not use.
 
-    Every change goes to each agent from four entries; keys and limits of
-    customers would be most of it.
+    Each agent gets every change from four entries; most of that traffic
+    would be keys and limits of customers.
     """
     delta.rows = [row for row in delta.rows if row.kind in AGENT_KINDS]
     return delta
@@ -77,13 +77,13 @@
 def apply_delta(
     table: Table, delta: messages.TableDelta
 ) -> Result[Applied, FullTableNeeded]:
-    """Give the table after a delta, forward only.
+    """Return the table after a delta, never an older one.
 
     A delta that ends at or below the table's offset changes nothing.
     """
-    if not _is_sound(delta):
+    if not _has_valid_offsets(delta):
         place = f'delta@{delta.to_offset}'
-        finding = Finding(place, 'has missing or impossible offsets')
+        finding = Finding(place, 'has missing or invalid offsets')
         return Success(Applied(table, (finding,)))
     if delta.to_offset <= table.offset:
         return Success(Applied(table))
@@ -104,41 +104,43 @@
 
 
 class RecentChanges:
-    """The rows touched of late, from which deltas for peers are made.
+    """The recently changed rows, from which deltas for peers are made.
 
-    Two tables do not suffice for that: a row that was added and removed
-    between them differs in neither, but a peer that is between them holds
-    it and has to be told.
+    Comparing two tables is not enough: a row that was added and then removed
+    between them is in neither, but a peer whose table is in between has it
+    and must remove it.
     """
 
     def __init__(self, max_kept: int = MAX_KEPT_CHANGES) -> None:
         self._max_kept = max_kept
-        self._touched: collections.deque[ChangedRow] = collections.deque()
+        self._changed_rows: collections.deque[ChangedRow] = collections.deque()
         self._covered_from: int | None = None
 
-    def add(self, from_offset: int, touched: Iterable[ChangedRow]) -> None:
-        """Note what was touched since a table at `from_offset`."""
+    def add(
+        self, from_offset: int, changed_rows: Iterable[ChangedRow]
+    ) -> None:
+        """Record the rows that changed since the table at `from_offset`."""
         if self._covered_from is None:
             self._covered_from = from_offset
-        self._touched.extend(touched)
-        while len(self._touched) > self._max_kept:
-            self._covered_from = self._touched.popleft().offset
+        self._changed_rows.extend(changed_rows)
+        while len(self._changed_rows) > self._max_kept:
+            self._covered_from = self._changed_rows.popleft().offset
 
     def reset(self) -> None:
-        """Begin anew, after the table moved on in an unknown way."""
-        self._touched.clear()
+        """Drop all changes, after the table changed in an unknown way."""
+        self._changed_rows.clear()
         self._covered_from = None
 
     def since(self, offset: int, table: Table) -> messages.TableDelta:
-        """Give what a peer at `offset` lacks, the whole if need be."""
+        """Return the delta for a peer at `offset`, or the full table."""
         covered = self._covered_from
         if offset == NO_OFFSET or covered is None or offset < covered:
             return full_table(table)
-        keys = {key for at, key in self._touched if at > offset}
-        return _delta(min(offset, table.offset), table, sorted(keys))
+        keys = {key for at, key in self._changed_rows if at > offset}
+        return _make_delta(min(offset, table.offset), table, sorted(keys))
 
 
-def _delta(
+def _make_delta(
     from_offset: int, table: Table, keys: Iterable[RowKey]
 ) -> messages.TableDelta:
     return messages.TableDelta(
@@ -154,7 +156,7 @@
     return messages.RowRecord(key.kind, key.name, held.revision, document)
 
 
-def _is_sound(delta: messages.TableDelta) -> bool:
+def _has_valid_offsets(delta: messages.TableDelta) -> bool:
     offsets = (delta.from_offset, delta.to_offset)
     if any(not isinstance(offset, int) for offset in offsets):
         return False
--- a/packages/burdockchute/burdockchute/model/records.py
+++ b/packages/burdockchute/burdockchute/model/records.py
@@ -1,9 +1,9 @@
 """Records of the table's stream in the platform's log, as JSON text.
 
-An edit changes one or several rows, all or none of them; it names for each
-the revision that its writer had read. A snapshot has the whole table as of
-an offset, for readers that start there. Anything else in the stream (other
-bytes, a newer format) is reported as findings and stops nothing.
+An edit changes one or more rows atomically; for each row it names the
+revision that its writer had read. A snapshot holds the full table as of an
+offset, for readers that start there. Anything else in the stream (other
+bytes, a newer format) is reported as findings; readers skip it and go on.
 """
 
 from __future__ import annotations
@@ -31,16 +31,16 @@
 FORMAT = 1
 TYPES = ('edit', 'snapshot')
 
-# One record of this many rows stays near 100 KB.
+# Keeps a record near 100 KB.
 MAX_EDITS = 256
 MAX_ID_CHARS = 128
 MAX_OFFSET = 2**63 - 1
 
 
 class RowEdit(NamedTuple):
-    """One row's new value, None to remove it.
+    """The new value of one row, None to remove it.
 
-    `base` is the revision that the writer had read, -1 for no such row.
+    `base` is the revision that the writer had read, -1 if there was no row.
     """
 
     key: RowKey
@@ -49,10 +49,10 @@
 
 
 class EditRecord(NamedTuple):
-    """Edits that are in force together or not at all.
+    """Edits that are applied together or not at all.
 
-    `as_of` is the offset of the table that the writer held. `by` and `at`
-    (UTC, ISO 8601) are for the history and decide nothing.
+    `as_of` is the offset of the table that the writer had read. `by` and
+    `at` (UTC, ISO 8601) are shown in the history and affect nothing else.
     """
 
     record_id: str
@@ -63,7 +63,7 @@
 
 
 class SnapshotRecord(NamedTuple):
-    """The whole table as of `table.offset`."""
+    """The full table as of `table.offset`."""
 
     table: Table
 
@@ -72,7 +72,7 @@
 
 
 def parse(data: str, place: str) -> Result[Record, list[Finding]]:
-    """Give the typed record, or every finding.
+    """Return the parsed record, or every finding.
 
     >>> parse('{"format": 2}', 'table@7').failure()
     [Finding(place='table@7:format', text='2 is not one of 1')]
@@ -89,7 +89,7 @@
 def parse_header(
     data: str, place: str
 ) -> Result[dict[str, Any], list[Finding]]:
-    """Give the JSON object of a record of a known format and type."""
+    """Return the JSON object of a record of a known format and type."""
     try:
         document = json.loads(data)
     except (ValueError, RecursionError) as exc:
@@ -108,7 +108,7 @@
 def parse_edit(
     data: str, place: str
 ) -> Result[EditRecord | None, list[Finding]]:
-    """Give an edit, None for a snapshot, whose rows are left unread."""
+    """Return an edit, None for a snapshot, without parsing its rows."""
     head = parse_header(data, place)
     if isinstance(head, Failure):
         return head
@@ -119,14 +119,14 @@
 
 
 def serialize(record: Record) -> str:
-    """Give the text to append; `parse` gives the same record back."""
+    """Return the text to append; `parse` restores the same record."""
     if isinstance(record, SnapshotRecord):
         return _to_json(_snapshot_document(record.table))
     return _to_json(_edit_document(record))
 
 
 def snapshot_id(table: Table) -> str:
-    """Name a snapshot; two of the same offset have the same id."""
+    """Return a snapshot's id; those of the same offset have the same."""
     return f'snapshot-{table.offset}'
 
 
@@ -183,7 +183,7 @@
     ):
         text = f'{record_id!r} is not text of 1 to {MAX_ID_CHARS} characters'
         found.append(Finding(f'{place}:id', text))
-    _need_offset(document, 'as_of', place, found)
+    _require_offset(document, 'as_of', place, found)
     for column in ('by', 'at'):
         if not isinstance(document.get(column, ''), str):
             text = f'{document[column]!r} is not text'
@@ -238,7 +238,7 @@
     except ValueError as exc:
         found.append(Finding(place, str(exc)))
         return None
-    _need_offset(document, 'base', place, found)
+    _require_offset(document, 'base', place, found)
     base: Any = document.get('base')
     values = document.get('row')
     if values is None:
@@ -265,8 +265,8 @@
     document: dict[str, Any], place: str
 ) -> Result[Record, list[Finding]]:
     found: list[Finding] = []
-    _need_offset(document, 'as_of', place, found)
-    _need_offset(document, 'forgotten', place, found)
+    _require_offset(document, 'as_of', place, found)
+    _require_offset(document, 'forgotten', place, found)
     rows = _parse_snapshot_rows(document.get('rows'), place, found)
     seen = _parse_seen(document.get('seen'), place, found)
     if found:
@@ -328,7 +328,7 @@
     return []
 
 
-def _need_offset(
+def _require_offset(
     document: dict[str, Any], name: str, place: str, found: list[Finding]
 ) -> None:
     if not _is_offset(document.get(name)):
--- a/packages/burdockchute/burdockchute/model/reducer.py
+++ b/packages/burdockchute/burdockchute/model/reducer.py
@@ -1,16 +1,17 @@
-"""The reducer: from the records of the log to the table.
-
-Pure and total: the same records give the same table in every process, and
-no record stops it. The log's order decides between two operators who edit
-the same row at the same moment; every process takes the same one, and the
-other's record is refused everywhere.
-
-A reply of an append can be lost, so that a writer appends its record again,
-and a log may deliver twice. A second copy could bring back a row that was
-removed in between: an operator would see an old version return by itself.
-So the ids of the last SEEN_RECORDS edits are part of the table, and an edit
-whose writer read the table before the oldest id we still know is refused as
-too old; its writer reads again and repeats it under a new id.
+"""The reducer, which computes the table from the records of the log.
+
+It is pure and total: the same records give the same table in every process,
+and no record makes it fail. If two operators edit the same row concurrently,
+the log's order decides: every process applies the first record and refuses
+the second.
+
+Records can be duplicated: a writer appends its record again if the reply to
+an append is lost, and the log may deliver a record twice. A duplicate could
+restore a row that was removed in between, so that an operator would see an
+old version return by itself. So the ids of the last SEEN_RECORDS edits are
+part of the table. An edit whose writer read the table before the oldest id
+that is still kept is refused as too old; its writer reads the table again
+and repeats the edit under a new id.
 """
 
 from __future__ import annotations
@@ -31,8 +32,8 @@
 from burdockchute.model.table import SeenRecord
 from burdockchute.model.table import Table
 
-# Some minutes of edits at twenty times the 41,000 of a day that the largest
-# site makes, far longer than a writer goes on looking for its record; about
+# Some minutes of edits at twenty times the rate of the largest site (41,000 a
+# day), far longer than a writer keeps looking for its record. Takes about
 # 100 KB in a snapshot.
 SEEN_RECORDS = 2048
 
@@ -40,13 +41,14 @@
 
 
 class Accepted(NamedTuple):
-    """The edits are in force from this record on."""
+    """The edits are in effect from this record on."""
 
 
 class Conflict(NamedTuple):
-    """A row has another revision than the writer had read; none applied.
+    """A row has another revision than `base`; no edit was applied.
 
-    `present` is the row as it is, None where there is none.
+    `base` is the revision that the writer had read, `present` the current
+    row, None if there is none.
     """
 
     key: RowKey
@@ -55,20 +57,20 @@
 
 
 class Duplicate(NamedTuple):
-    """A second copy of the record at `first`; ignored."""
+    """A duplicate of the record at offset `first`; ignored."""
 
     first: int
 
 
 class TooOld(NamedTuple):
-    """Made from a table older than the ids still known; refused."""
+    """Made from a table older than the oldest kept id; refused."""
 
     as_of: int
     forgotten: int
 
 
 class AsOfInFuture(NamedTuple):
-    """Claims to be made from a table that comes after it; refused."""
+    """Its `as_of` is not before its own offset; refused."""
 
     as_of: int
 
@@ -81,7 +83,7 @@
 
 
 class ReducedBatch(NamedTuple):
-    """The table after a batch, its findings and the rows it touched."""
+    """The table after a batch, its findings and the rows it changed."""
 
     table: Table
     findings: list[Finding]
@@ -94,23 +96,24 @@
 def apply_record(
     table: Table, offset: int, data: str
 ) -> tuple[Table, list[Finding]]:
-    """Give the table after one record, and what was wrong with it.
+    """Return the table after one record, and the findings of the record.
 
     A record at or below the table's offset changes nothing. A snapshot
-    changes only the offset: it repeats what a reader that came this far has.
+    changes only the offset, since it repeats the rows that a reader at its
+    offset already has.
     """
     reduced = apply_all(table, [(offset, data)])
     return reduced.table, reduced.findings
 
 
 def apply_all(table: Table, batch: Iterable[tuple[int, str]]) -> ReducedBatch:
-    """Give the same as `apply_record` for each, copying the rows once.
+    """Apply each record like `apply_record`, copying the rows only once.
 
-    Offsets must rise. `changed_rows` tells every row that was set or removed,
-    also one that a later record of the batch put back as it was.
+    Offsets must increase. `changed_rows` has every row that was set or
+    removed, including one that a later record of the batch restored.
     """
     found: list[Finding] = []
-    touched: list[ChangedRow] = []
+    changed_rows: list[ChangedRow] = []
     rows = dict(table.rows)
     for offset, data in batch:
         if offset <= table.offset:
@@ -123,26 +126,28 @@
         record = parsed.unwrap()
         if record is None:
             continue
-        verdict = _judge(table, rows, offset, record)
+        verdict = _evaluate(table, rows, offset, record)
         if isinstance(verdict, Accepted):
-            _edit(rows, offset, record.edits)
-            touched.extend(ChangedRow(offset, e.key) for e in record.edits)
+            _apply_edits(rows, offset, record.edits)
+            changed_rows.extend(
+                ChangedRow(offset, e.key) for e in record.edits
+            )
         else:
             found.append(Finding(place_of(offset), describe(verdict)))
         if not isinstance(verdict, Duplicate):
-            table = _remember(table, offset, record.record_id)
-    if touched:
+            table = _add_seen(table, offset, record.record_id)
+    if changed_rows:
         table = table._replace(rows=MappingProxyType(rows))
-    return ReducedBatch(table, found, touched)
+    return ReducedBatch(table, found, changed_rows)
 
 
 def evaluate_edit(table: Table, offset: int, record: EditRecord) -> Verdict:
-    """Tell what becomes of an edit that follows on this table."""
-    return _judge(table, table.rows, offset, record)
+    """Return the verdict on an edit that would be next after this table."""
+    return _evaluate(table, table.rows, offset, record)
 
 
 def place_of(offset: int) -> str:
-    """Give the place of a record for findings.
+    """Return the place of a record for findings.
 
     >>> place_of(12)
     'table@12'
@@ -151,7 +156,7 @@
 
 
 def describe(verdict: Verdict) -> str:
-    """Say in words why a record was refused."""
+    """Return the reason why a record was refused, as text."""
     if isinstance(verdict, Conflict):
         present = verdict.present.revision if verdict.present else 'no row'
         return (
@@ -170,7 +175,7 @@
     return 'accepted'
 
 
-def _judge(
+def _evaluate(
     table: Table,
     rows: Mapping[RowKey, Revisioned],
     offset: int,
@@ -190,7 +195,7 @@
     return Accepted()
 
 
-def _edit(
+def _apply_edits(
     rows: dict[RowKey, Revisioned], offset: int, edits: tuple[RowEdit, ...]
 ) -> None:
     for edit in edits:
@@ -200,7 +205,7 @@
             rows[edit.key] = Revisioned(edit.row, offset)
 
 
-def _remember(table: Table, offset: int, record_id: str) -> Table:
+def _add_seen(table: Table, offset: int, record_id: str) -> Table:
     seen = (*table.seen, SeenRecord(offset, record_id))
     if len(seen) <= SEEN_RECORDS:
         return table._replace(seen=seen)
--- a/packages/burdockchute/tests/test_deltas.py
+++ b/packages/burdockchute/tests/test_deltas.py
@@ -1,4 +1,4 @@
-"""Deltas between tables and how they are applied."""
+"""Tests of deltas between tables."""
 
 from __future__ import annotations
 
@@ -21,46 +21,47 @@
 ]
 
 
-def grow(changes: deltas.RecentChanges | None = None) -> list[Table]:
-    """Give the empty table and those after each of four records."""
-    grown = [EMPTY_TABLE]
+def build_tables(changes: deltas.RecentChanges | None = None) -> list[Table]:
+    """Return the empty table and the tables after each of four records."""
+    built = [EMPTY_TABLE]
     for offset, text in enumerate(TEXTS):
-        reduced = reducer.apply_all(grown[-1], [(offset, text)])
+        reduced = reducer.apply_all(built[-1], [(offset, text)])
         if changes:
-            changes.add(grown[-1].offset, reduced.changed_rows)
-        grown.append(reduced.table)
-    return grown
+            changes.add(built[-1].offset, reduced.changed_rows)
+        built.append(reduced.table)
+    return built
 
 
-def over_the_wire(delta: messages.TableDelta) -> messages.TableDelta:
+def encode_and_decode(delta: messages.TableDelta) -> messages.TableDelta:
     return codec.decode(codec.encode(delta))
 
 
 class DeltasTest(unittest.TestCase):
     def test_delta_applies_to_any_table_in_between(self):
-        # Agents hear from several entries, which read the log in batches of
-        # their own. A row that was added and removed within one entry's
-        # batch may stand in an agent's table, and must go from there too.
+        # Agents get deltas from several entries, each of which reads the
+        # log in its own batches. A row that was added and removed within
+        # one entry's batch may be in an agent's table, and must be removed
+        # there too.
         for low in range(1, 5):
             changes = deltas.RecentChanges()
             reduced = reducer.apply_all(EMPTY_TABLE, enumerate(TEXTS))
             changes.add(-1, reduced.changed_rows)
-            delta = over_the_wire(changes.since(low - 1, reduced.table))
-            for table in grow()[low:]:
+            delta = encode_and_decode(changes.since(low - 1, reduced.table))
+            for table in build_tables()[low:]:
                 applied = deltas.apply_delta(table, delta).unwrap()
                 with self.subTest(low=low, held=table.offset):
                     self.assertEqual((), applied.findings)
                     self.assertEqual(reduced.table.rows, applied.table.rows)
 
-    def test_whole_table_with_seen_is_the_same_table(self):
-        table = grow()[-1]
-        delta = over_the_wire(deltas.full_table(table, with_seen=True))
+    def test_full_table_with_seen_is_the_same_table(self):
+        table = build_tables()[-1]
+        delta = encode_and_decode(deltas.full_table(table, with_seen=True))
         applied = deltas.apply_delta(EMPTY_TABLE, delta).unwrap()
         self.assertEqual(table, applied.table)
 
-    def test_agents_are_told_no_rows_of_customers(self):
+    def test_agents_get_no_rows_of_customers(self):
         table = tables.table_of(tables.model(), tables.customer())
-        delta = over_the_wire(
+        delta = encode_and_decode(
             deltas.filter_for_agents(deltas.full_table(table))
         )
         applied = deltas.apply_delta(EMPTY_TABLE, delta).unwrap().table
@@ -68,27 +69,27 @@
         self.assertEqual({rows.RowKey('model', 'story')}, set(applied.rows))
 
     def test_older_delta_changes_nothing(self):
-        # An entry was paused for an hour; when it goes on it first sends
-        # what it had queued. Rows that are in force would go back.
+        # An entry that was paused for an hour first sends what it had
+        # queued. Applying that would revert rows that are in effect.
         changes = deltas.RecentChanges()
-        grown = grow(changes)
+        built = build_tables(changes)
         for delta in (
-            deltas.full_table(grown[2]),
-            changes.since(0, grown[3]),
+            deltas.full_table(built[2]),
+            changes.since(0, built[3]),
         ):
-            applied = deltas.apply_delta(grown[4], delta).unwrap()
-            self.assertEqual(deltas.Applied(grown[4]), applied)
+            applied = deltas.apply_delta(built[4], delta).unwrap()
+            self.assertEqual(deltas.Applied(built[4]), applied)
 
-    def test_delta_from_beyond_needs_the_whole(self):
+    def test_delta_from_a_later_offset_needs_the_full_table(self):
         changes = deltas.RecentChanges()
-        grown = grow(changes)
-        delta = changes.since(2, grown[4])
+        built = build_tables(changes)
+        delta = changes.since(2, built[4])
         self.assertEqual(
             deltas.FullTableNeeded(0, 2),
-            deltas.apply_delta(grown[1], delta).failure(),
+            deltas.apply_delta(built[1], delta).failure(),
         )
 
-    def test_rows_that_can_not_be_read_are_findings(self):
+    def test_unreadable_rows_are_findings(self):
         delta = messages.TableDelta(
             -1,
             3,
@@ -116,19 +117,19 @@
             self.assertEqual(1, len(applied.findings))
 
 
-class ChangesTest(unittest.TestCase):
-    def test_peer_gets_what_it_lacks(self):
+class RecentChangesTest(unittest.TestCase):
+    def test_peer_gets_the_missing_changes(self):
         changes = deltas.RecentChanges()
-        grown = grow(changes)
-        for table in grown[1:]:
-            delta = changes.since(table.offset, grown[-1])
+        built = build_tables(changes)
+        for table in built[1:]:
+            delta = changes.since(table.offset, built[-1])
             applied = deltas.apply_delta(table, delta).unwrap()
             with self.subTest(table.offset):
                 self.assertEqual(table.offset, delta.from_offset)
-                self.assertEqual(grown[-1].rows, applied.table.rows)
+                self.assertEqual(built[-1].rows, applied.table.rows)
 
-    def test_peer_from_before_the_kept_changes_gets_the_whole(self):
+    def test_peer_older_than_the_kept_changes_gets_the_full_table(self):
         changes = deltas.RecentChanges(max_kept=2)
-        grown = grow(changes)
-        self.assertEqual(-1, changes.since(0, grown[-1]).from_offset)
-        self.assertEqual(1, changes.since(1, grown[-1]).from_offset)
+        built = build_tables(changes)
+        self.assertEqual(-1, changes.since(0, built[-1]).from_offset)
+        self.assertEqual(1, changes.since(1, built[-1]).from_offset)
--- a/packages/burdockchute/tests/test_reducer.py
+++ b/packages/burdockchute/tests/test_reducer.py
@@ -1,4 +1,4 @@
-"""The reducer and the records that it reads."""
+"""Tests of the reducer and of the records that it reads."""
 
 from __future__ import annotations
 
@@ -36,9 +36,9 @@
         self.assertEqual(2, table.offset)
 
     def test_one_of_two_operators_wins_everywhere(self):
-        # Two operators read the same row and save it at the same moment.
-        # Without a rule that every process shares, some instances would
-        # serve the one version and some the other.
+        # Two operators read the same row and save it concurrently. Without
+        # a rule that all processes share, some instances would serve one
+        # version and some the other.
         table, found = reduce(
             tables.record('a', tables.edit(tables.model())),
             tables.record('b', tables.edit(tables.model(version='2'), 0)),
@@ -48,7 +48,7 @@
         text = 'model/story was edited from revision 0, but the present is 1'
         self.assertEqual([findings.Finding('table@2', text)], found)
 
-    def test_edits_of_one_record_are_in_force_together_or_not_at_all(self):
+    def test_edits_of_one_record_are_applied_together_or_not_at_all(self):
         table, _found = reduce(
             tables.record('a', tables.edit(tables.model())),
             tables.record(
@@ -59,10 +59,10 @@
         )
         self.assertEqual([STORY], list(table.rows))
 
-    def test_second_copy_does_not_bring_a_removed_row_back(self):
-        # The reply of an append is lost and the writer appends again, after
-        # a colleague has removed the row. The operator would see the row
-        # that was removed return by itself.
+    def test_duplicate_does_not_restore_a_removed_row(self):
+        # The reply to an append is lost, and the writer appends the record
+        # again after another operator has removed the row. The removed row
+        # must not return by itself.
         text = tables.record('a', tables.edit(tables.model()))
         remove = tables.record(
             'b', tables.removal(tables.model(), base=0), as_of=0
@@ -74,8 +74,8 @@
             found,
         )
 
-    def test_copy_older_than_the_known_ids_is_refused(self):
-        # As above, but so late that the record's id is no longer kept.
+    def test_duplicate_older_than_the_kept_ids_is_refused(self):
+        # As above, but the record's id is no longer kept.
         text = tables.record('a', tables.edit(tables.model()))
         remove = tables.record(
             'b', tables.removal(tables.model(), base=0), as_of=0
@@ -95,9 +95,9 @@
             found,
         )
 
-    def test_records_that_can_not_be_read_stop_nothing(self):
-        # A process of the next release, or another program, writes into the
-        # stream. The processes of this release must go on with the rest.
+    def test_unreadable_records_are_skipped(self):
+        # A process of a later release, or another program, writes into the
+        # stream. Processes of this release must apply the other records.
         newer = json.dumps({'format': 2, 'type': 'edit'})
         table, found = reduce(
             'garbage',
@@ -126,7 +126,7 @@
             (table, []), reducer.apply_record(table, table.offset, again)
         )
 
-    def test_snapshot_changes_only_the_offset_of_a_reader_beyond_it(self):
+    def test_snapshot_changes_only_the_offset_of_a_later_reader(self):
         table = tables.table_of(tables.model())
         later = tables.table_of(tables.model(version='9'))
         after, found = reducer.apply_record(table, 5, tables.snapshot(later))
@@ -158,7 +158,7 @@
         other = one._replace(rows=dict(reversed(one.rows.items())))
         self.assertEqual(tables.snapshot(one), tables.snapshot(other))
 
-    def test_broken_snapshot(self):
+    def test_invalid_snapshot(self):
         document = json.loads(tables.snapshot(tables.table_of()))
         document |= {'rows': [[0, 'model', {}], 3], 'seen': [1], 'as_of': ''}
         found = records.parse(json.dumps(document), 'p').failure()
--- a/packages/burdockchute/tests/test_table_machine.py
+++ b/packages/burdockchute/tests/test_table_machine.py
@@ -1,4 +1,4 @@
-"""State machines: the reducer against a simple reference, and fuzzing."""
+"""Tests of the reducer against a simple reference, and fuzzing."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 from burdockchute_testing.builders import tables
 from burdockchute_testing.fakes.log import FakeLog
 
-# Few names, so that edits meet; a short memory of ids, so that records
-# older than it are met as well.
+# Few names, so that edits conflict; few kept ids, so that records older than
+# those are tested as well.
 NAMES = ('a', 'b', 'c')
 SEEN = 5
 SETTINGS = hypothesis.settings(
@@ -37,9 +37,9 @@
 
 
 class Reference:
-    """What the log means, written as plainly as can be.
+    """The simplest implementation of the log's meaning.
 
-    It keeps every id for ever and knows nothing of snapshots or windows.
+    It keeps all ids and has no snapshots or windows.
     """
 
     def __init__(self) -> None:
@@ -47,12 +47,12 @@
         self.ids: list[tuple[int, str]] = []
 
     def apply(self, offset: int, record: records.EditRecord) -> None:
-        """Take one edit record."""
+        """Apply one edit record."""
         if any(record.record_id == known for _at, known in self.ids):
             return
-        newest_out = self.ids[-SEEN - 1][0] if len(self.ids) > SEEN else -1
+        newest_dropped = self.ids[-SEEN - 1][0] if len(self.ids) > SEEN else -1
         self.ids.append((offset, record.record_id))
-        if record.as_of < newest_out:
+        if record.as_of < newest_dropped:
             return
         for edit in record.edits:
             if self.rows.get(edit.key.name, (-1, 0))[0] != edit.base:
@@ -65,7 +65,7 @@
 
 
 class TableMachine(stateful.RuleBasedStateMachine):
-    """Writers, snapshots, retention and readers over one log."""
+    """Writers, snapshots, retention and readers on one log."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -80,7 +80,7 @@
         self.sent: list[str] = []
 
     def teardown(self) -> None:
-        """Put the window back."""
+        """Restore the number of kept ids."""
         self.patch.stop()
 
     def append(self, text: str) -> None:
@@ -96,7 +96,7 @@
         back=st.integers(0, 3),
     )
     def edit(self, names: set[str], slots: int, remove: bool, back: int):
-        """Edit rows, made from the present table or an older one."""
+        """Edit rows, based on the current table or an older one."""
         seen = self.held[max(0, len(self.held) - 1 - back)]
         edits = []
         for name in sorted(names):
@@ -112,24 +112,24 @@
     @stateful.precondition(lambda self: self.sent)
     @stateful.rule(data=st.data())
     def append_again(self, data: st.DataObject):
-        """Let a second copy of any earlier record arrive."""
+        """Append a duplicate of any earlier record."""
         self.append(data.draw(st.sampled_from(self.sent)))
 
     @stateful.rule(text=st.sampled_from(['garbage', '{"format": 2}', '[]']))
     def append_garbage(self, text: str):
-        """Let something else stand in the stream."""
+        """Append text that is no record."""
         self.append(text)
 
     @stateful.rule(back=st.integers(0, 4))
     def write_snapshot(self, back: int):
-        """Write a snapshot, perhaps one made some time ago."""
+        """Write a snapshot of the current table or an older one."""
         self.append(
             tables.snapshot(self.held[max(0, len(self.held) - back) - 1])
         )
 
     @stateful.rule(count=st.integers(1, 5))
     def follow(self, count: int):
-        """Read on, in a batch of its own size."""
+        """Read the next records, in batches of varying size."""
         start = self.follower.offset + 1
         read = self.log.read('table', start, count, 0)
         if isinstance(read, Failure):
@@ -143,7 +143,7 @@
 
     @stateful.rule()
     def restart(self):
-        """Start anew from the log alone."""
+        """Load the table from the log alone."""
         loading = table_log.load(self.log)
         if isinstance(loading, Failure):
             assert isinstance(loading.failure(), table_log.Lost)
@@ -157,14 +157,14 @@
 
     @stateful.rule(share=st.floats(0, 1))
     def retention(self, share: float):
-        """Forget the oldest records, with or without a snapshot left."""
+        """Trim the oldest records; a snapshot may or may not remain."""
         extent = self.log.extent('table').unwrap()
         kept = extent.next_offset - extent.earliest
         self.log.trim('table', extent.earliest + int(kept * share))
 
     @stateful.rule()
-    def tell_agent(self):
-        """Send an agent what it lacks."""
+    def update_agent(self):
+        """Send an agent the changes that it is missing."""
         delta = self.changes.since(self.agent.offset, self.follower)
         delta = codec.decode(codec.encode(delta))
         applied = deltas.apply_delta(self.agent, delta).unwrap()
@@ -174,8 +174,8 @@
         self.agent = applied.table
 
     @stateful.rule(back=st.integers(1, 5))
-    def tell_agent_of_old(self, back: int):
-        """Let a process that was paused send what it held."""
+    def send_agent_old_table(self, back: int):
+        """Send an agent the old table of a process that was paused."""
         old = self.held[max(0, len(self.held) - 1 - back)]
         before = self.agent
         applied = deltas.apply_delta(before, deltas.full_table(old)).unwrap()
@@ -186,7 +186,7 @@
 
     @stateful.invariant()
     def log_and_reference_agree(self):
-        """Compare the reduction of the whole stream with the reference."""
+        """Compare the reduction of the full stream with the reference."""
         texts = enumerate(self.log.all_of('table'))
         self.check(reducer.apply_all(EMPTY_TABLE, texts).table)
 
@@ -221,8 +221,8 @@
 )  # fmt: skip
 
 
-def almost_records() -> st.SearchStrategy:
-    """Give records of a known type with one member replaced."""
+def nearly_valid_records() -> st.SearchStrategy:
+    """Return records of a known type with one member replaced."""
     table = tables.table_of(tables.model(), tables.service())
     whole = [
         json.loads(tables.snapshot(table)),
@@ -239,13 +239,14 @@
 class FuzzTest(unittest.TestCase):
     @SETTINGS
     @hypothesis.given(
-        st.text() | JSON.map(json.dumps) | almost_records(), st.integers(0, 9)
+        st.text() | JSON.map(json.dumps) | nearly_valid_records(),
+        st.integers(0, 9),
     )
-    def test_no_record_stops_the_reducer(self, text: str, offset: int):
+    def test_no_record_makes_the_reducer_fail(self, text: str, offset: int):
         table = tables.table_of(tables.model(), tables.service())
         after, _found = reducer.apply_record(table, offset, text)
         self.assertEqual(max(offset, table.offset), after.offset)
-        # Whatever was taken must survive the way into a snapshot and back.
+        # A table must be the same after it was written as a snapshot.
         for made in (after, _snapshot_table(text)):
             if made is not None:
                 read = records.parse(tables.snapshot(made), '').unwrap()
@@ -263,7 +264,7 @@
 
     @SETTINGS
     @hypothesis.given(st.data())
-    def test_damaged_delta_is_refused_or_moves_forward(
+    def test_corrupt_delta_is_refused_or_moves_forward(
         self, data: st.DataObject
     ):
         table = tables.table_of(tables.model(), tables.service())
@@ -293,5 +294,5 @@
 
 
 def key_of(name: str) -> rows.RowKey:
-    """Give the key of a service row."""
+    """Return the key of a service row."""
     return rows.RowKey('service', name)
