--- a/packages/burdockchute/burdockchute/model/known_state.py
+++ b/packages/burdockchute/burdockchute/model/known_state.py
@@ -331,5 +331,6 @@
 
 
 def _without_warmup(upstream: Upstream) -> Upstream:
-    # `warm_in_s` counts down with every record; that is no change to log.
+    # `warm_in_s`, the time for which an upstream stays slow after its start,
+    # decreases with every record; that is no change to log.
     return upstream._replace(warm_in_s=0.0)
--- a/packages/burdockchute/tests/test_table_machine.py
+++ b/packages/burdockchute/tests/test_table_machine.py
@@ -224,13 +224,13 @@
 def nearly_valid_records() -> st.SearchStrategy:
     """Return records of a known type with one member replaced."""
     table = tables.table_of(tables.model(), tables.service())
-    whole = [
+    documents = [
         json.loads(tables.snapshot(table)),
         json.loads(tables.record('r', tables.edit(tables.model()))),
     ]
     return st.builds(
         lambda document, name, value: json.dumps({**document, name: value}),
-        st.sampled_from(whole),
+        st.sampled_from(documents),
         st.sampled_from(['id', 'as_of', 'edits', 'rows', 'seen', 'forgotten']),
         JSON,
     )
