--- a/packages/burdockchute/burdockchute/model/agent_requirements.py
+++ b/packages/burdockchute/burdockchute/model/agent_requirements.py
@@ -1,4 +1,4 @@
-"""What an agent needs of the configuration that is in force."""
+"""The part of the current configuration that an agent needs."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class AgentRequirements(NamedTuple):
-    """The small part of a configuration that an agent works by.
+    """The part of a configuration that an agent needs.
 
-    `configuration` is the version it is from, `models` are those of the
-    agent's own service, `slots` is how many requests its engine runs at once,
-    and `origin` the address that gives out weights, empty for none.
+    `configuration` is the version of the configuration. `models` are those
+    of the agent's own service, `slots` is how many requests its engine runs
+    at once, and `origin` is the address that serves weights, empty for none.
     """
 
     configuration: int
@@ -25,7 +25,7 @@
 def requirements_of(
     configuration: int, services: Mapping[str, Service], own: str
 ) -> AgentRequirements:
-    """Give what an agent of the service `own` needs.
+    """Return the requirements of an agent of the service `own`.
 
     >>> from burdockchute.model.routes import Model
     >>> drafts = Service('drafts', 8, models=(Model('story', 0.3),), slots=4)
--- a/packages/burdockchute/burdockchute/model/engines.py
+++ b/packages/burdockchute/burdockchute/model/engines.py
@@ -1,4 +1,4 @@
-"""What an agent reads from its engine and orders it to do."""
+"""State that an agent reads from its engine, and orders to the engine."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class EngineReport(NamedTuple):
-    """What an engine holds and does.
+    """State and load of an engine.
 
-    `versions` gives the version of each model that is loaded. `sequence`
-    counts the orders that it has begun, anew after a restart. `memory_used`
-    and `memory_total` are tokens; `slowness` is over 1 for an engine that is
-    slower than its kind.
+    `versions` has the version of each loaded model. `sequence` counts the
+    orders that the engine has started since its last restart. `memory_used`
+    and `memory_total` are in tokens. `slowness` is above 1 for an engine
+    that is slower than others of its kind.
     """
 
     versions: Mapping[str, int]
@@ -29,8 +29,9 @@
 class LoadOrder(NamedTuple):
     """The order to load the staged version of a model.
 
-    It holds only for an engine whose sequence is still `sequence`. With
-    `finish_running` what runs is finished first, else it is broken off.
+    The engine carries it out only if its sequence is still `sequence`. With
+    `finish_running` the engine first finishes running requests, otherwise it
+    aborts them.
     """
 
     model: str
@@ -40,7 +41,7 @@
 
 
 class OrderOutcome(enum.Enum):
-    """What became of an order."""
+    """The outcome of an order; UNKNOWN if no usable reply arrived."""
 
     STARTED = 'begun'
     IN_EFFECT = 'in_effect'
@@ -49,7 +50,7 @@
 
 
 class CallFailed(NamedTuple):
-    """A call brought nothing; `status` is 0 where no answer came."""
+    """A call failed; `status` is the HTTP status, 0 if no answer came."""
 
     status: int
     reason: str
--- a/packages/burdockchute/burdockchute/model/exchanges.py
+++ b/packages/burdockchute/burdockchute/model/exchanges.py
@@ -1,7 +1,7 @@
-"""One request as a caller sent it, and what an upstream answered.
+"""A request as a caller sent it, and the head of an upstream's answer.
 
-These are the terms between the product and whatever speaks a platform's
-protocol: header names and encodings stay on the other side.
+These types are the interface to the adapter of a platform's protocol, which
+alone knows header names and encodings.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 class InboundRequest(NamedTuple):
     """A caller's request.
 
-    `target` is path and query as they came. `time_left_s` is how long the
-    caller will wait, None where it does not say. `resume_after` is the id of
-    the last event that the caller has, empty for a whole answer.
-    `prompt_tokens`, `max_tokens` and `likely_tokens` are 0 where they aren't
-    given. `headers` are those that go on to the upstream unchanged.
+    `target` is the path and query as received. `time_left_s` is how long the
+    caller will wait, None if it does not say. `resume_after` is the id of
+    the last event that the caller has, empty for a complete answer.
+    `prompt_tokens`, `max_tokens` and `likely_tokens` are 0 if they are not
+    given. `headers` are those that are forwarded to the upstream unchanged.
     """
 
     id: str
@@ -42,10 +42,10 @@
 
 
 class ForwardedRequest(NamedTuple):
-    """What this system adds when it hands a request on.
+    """What this system adds to a request that it forwards.
 
-    `instance` is the id of the upstream that must run it, `version` that of
-    the weights, None for any. `urgency` is 0 for the most urgent.
+    `instance` is the id of the upstream that must run it, `version` the
+    version of the weights, None for any. `urgency` is 0 for the most urgent.
     """
 
     instance: str
@@ -59,10 +59,11 @@
 class AnswerHead(NamedTuple):
     """Status and headers of an upstream's answer.
 
-    `sealed` tells that the upstream signed it, which a whole success always
-    is. `not_run` is the upstream's word that it did not run the request.
-    `version` is that of the weights, None where it isn't said. `idle_s` is
-    how long the upstream keeps the connection, None for no longer.
+    `sealed` is whether the upstream signed the answer; each complete
+    successful answer is signed. `not_run` is whether the upstream states
+    that it did not run the request. `version` is the version of the weights,
+    None if it is not given. `idle_s` is how long the upstream keeps the
+    connection open, None if it closes it.
     """
 
     status: int
--- a/packages/burdockchute/burdockchute/model/feeds.py
+++ b/packages/burdockchute/burdockchute/model/feeds.py
@@ -1,9 +1,10 @@
-"""What is read from the platform: wishes of operators and the upstreams.
+"""Feeds of the platform: operators' desired state and the upstreams.
 
-A feed is read by position. Without one it gives all that is in force, as
-`complete`; what is missing then is not in force any more. With one it gives
-what has changed since, or all where that can't be told: a store that came
-back from a copy has other records at the same offsets.
+A feed is read from a position. Without a position it returns everything that
+is in effect, marked `complete`; what is missing there is no longer in effect.
+With a position it returns the changes since then, or everything if they
+can't be determined: a store that was restored from a copy has other records
+at the same offsets.
 """
 
 from __future__ import annotations
@@ -20,20 +21,20 @@
 
 
 class ConfigurationRead(NamedTuple):
-    """Operators have saved a configuration."""
+    """A configuration that operators have saved."""
 
     configuration: Configuration
 
 
 class VersionRead(NamedTuple):
-    """Operators want a version of a model's weights on all its instances."""
+    """The version of weights that operators want on a model's instances."""
 
     model: str
     version: int
 
 
 class UnreadableRecord(NamedTuple):
-    """A record that says nothing usable; it changes nothing."""
+    """A record without usable content; it changes nothing."""
 
     key: str
     reason: str
@@ -49,7 +50,7 @@
 
 
 class Batch(NamedTuple):
-    """Changes in their order; the next read goes on at `position`."""
+    """Changes in order; the next read continues at `position`."""
 
     position: Position
     complete: bool
@@ -57,9 +58,10 @@
 
 
 class FeedError(NamedTuple):
-    """The platform did not answer, or refused.
+    """The platform did not answer, or refused the read.
 
-    `expired` tells that the position is too old, so that all has to be read.
+    `expired` is whether the position is too old, so that everything has to
+    be read again.
     """
 
     reason: str
@@ -70,7 +72,7 @@
 
 
 class Feeds(NamedTuple):
-    """The two feeds; each reader waits up to so many seconds for a change."""
+    """The two feeds; a read waits up to the given seconds for a change."""
 
     desired_state: ReadFeed
     upstreams: ReadFeed
--- a/packages/burdockchute/burdockchute/model/machines.py
+++ b/packages/burdockchute/burdockchute/model/machines.py
@@ -1,4 +1,4 @@
-"""The machine that a process runs on, as its platform describes it."""
+"""The machine that a process runs on, as the platform describes it."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class Bounds(NamedTuple):
-    """What the platform's operators hold this system to.
-
-    A saved configuration is in force within `config_apply_s`, a named
-    version of weights within `version_s`, and an upstream that leaves gets
-    no new work after `drain_s`. A process that is told to stop is killed
-    after `grace_s`. In each `retry_window_s` a service may get as many
-    retries as `retry_ratio` of its requests and `retry_extra` more, from all
-    entries together. A process that was out of reach counts as back in
-    touch after `contact_s`.
+    """Limits that the platform's operators require this system to keep.
+
+    A saved configuration must be in effect within `config_apply_s` and a
+    named version of weights within `version_s`; a draining upstream must get
+    no new work after `drain_s`. A process that is asked to stop is killed
+    after `grace_s`. In each `retry_window_s` a service may get retries for
+    the fraction `retry_ratio` of its requests and `retry_extra` more, from
+    all entries together. A process that was unreachable counts as connected
+    again after `contact_s`.
     """
 
     config_apply_s: float
@@ -34,10 +34,10 @@
 class Machine(NamedTuple):
     """One machine.
 
-    `regions` gives the region of each availability zone. `callers` and
-    `probes` are set where the process serves callers, `upstream` and
-    `service` where it stands beside an upstream. Links use the ports from
-    the first to the second of `link_ports`.
+    `regions` has the region of each availability zone. `callers` and
+    `probes` are set if the process serves callers, `upstream` and `service`
+    if it runs next to an upstream. Links use the ports from the first to the
+    second of `link_ports`.
     """
 
     name: str
--- a/packages/burdockchute/burdockchute/model/members.py
+++ b/packages/burdockchute/burdockchute/model/members.py
@@ -1,4 +1,4 @@
-"""Instances of the system, as the platform's list and our links name them."""
+"""Instances of the system, as the platform's list and links name them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Place(NamedTuple):
-    """Where an instance stands; learnt from its settings."""
+    """The location of an instance, from its settings."""
 
     zone: str
     region: str
@@ -16,8 +16,8 @@
 class Member(NamedTuple):
     """One instance that runs a process of the system.
 
-    `role` is 'entry' or 'agent'. `leaving` comes from the platform's lagging
-    list or from the instance itself, whichever says so first.
+    `role` is 'entry' or 'agent'. `leaving` is set when either the platform's
+    list, which lags, or the instance itself first reports that it leaves.
     """
 
     name: str
--- a/packages/burdockchute/burdockchute/model/routes.py
+++ b/packages/burdockchute/burdockchute/model/routes.py
@@ -1,8 +1,8 @@
-"""What operators want served: routes, services, customers and limits.
+"""The operators' configuration: routes, services, customers and limits.
 
-A route says which service answers the requests of one host below one path,
-and how long a caller may be kept waiting. All times are seconds, all sizes
-bytes.
+A route defines which services answer the requests for one host and path
+prefix, and how long a caller may wait. All times are in seconds, all sizes
+in bytes.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Kind(enum.Enum):
-    """What may be done with a request of a route a second time."""
+    """Whether and how a request of a route may be run a second time."""
 
     IDEMPOTENT = 'idempotent'
     NON_IDEMPOTENT = 'non_idempotent'
@@ -20,7 +20,7 @@
 
 
 class Share(NamedTuple):
-    """The part of a route's requests that goes to one service."""
+    """The fraction of a route's requests that goes to one service."""
 
     service: str
     weight: float
@@ -29,10 +29,10 @@
 class Route(NamedTuple):
     """One route.
 
-    `objective_s` is the time to a whole answer, or to the first event of a
-    stream, within which an answer counts as on time, and `gap_s` the longest
-    pause between two events for which it still does. `max_attempts` bounds
-    the upstreams that may run one request. Priority 0 is the most urgent.
+    An answer counts as on time if it is complete, or its first event has
+    arrived for a stream, within `objective_s`, and if no interval between
+    two events is longer than `gap_s`. `max_attempts` limits the upstreams
+    that may run one request. Priority 0 is the most urgent.
     """
 
     name: str
@@ -50,18 +50,19 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Whether a request may be run again after one that was lost."""
+        """Whether a request may be run again after an attempt was lost."""
         if self.kind is Kind.STREAM:
             return self.resumable
         return self.kind is Kind.IDEMPOTENT
 
 
 class EngineCost(NamedTuple):
-    """How fast an engine works, as its operators declare it.
+    """The speed of an engine, as its operators declare it.
 
-    A step makes one token for each running request and takes `step_s` plus
-    `request_step_s` for each of them; prompts are read at
-    `prompt_tokens_per_s`. A pass of the batch makes `steps_per_pass` steps.
+    A step generates one token for each running request and takes `step_s`
+    plus `request_step_s` for each of them. Prompts are processed at
+    `prompt_tokens_per_s`. A pass over the batch makes `steps_per_pass`
+    steps.
     """
 
     step_s: float
@@ -73,17 +74,18 @@
 
 
 class Model(NamedTuple):
-    """One model that a service's engines can run."""
+    """A model that a service's engines can run; loading takes `load_s`."""
 
     name: str
     load_s: float
 
 
 class Service(NamedTuple):
-    """Upstreams of one kind.
+    """A group of upstreams of the same kind.
 
-    `origin` is set for the service that gives out weights. `models` and
-    `cost` are empty for services that are no engines.
+    `origin` is the address of the service that serves weights, empty for
+    other services. `models` is empty and `cost` None for services whose
+    upstreams are not engines.
     """
 
     name: str
@@ -95,7 +97,7 @@
 
 
 class Keyholder(NamedTuple):
-    """A customer with the keys it may use and its priority, if it has one."""
+    """A customer with its keys and its priority, None if it has none."""
 
     name: str
     keys: tuple[str, ...]
@@ -103,7 +105,7 @@
 
 
 class CallerLimits(NamedTuple):
-    """What a caller may send, and for how long it may take or stay idle."""
+    """Limits on the size and duration of a caller's requests."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -112,7 +114,7 @@
 
 
 class Configuration(NamedTuple):
-    """Everything operators want at one version of it."""
+    """One version of the operators' configuration."""
 
     version: int
     routes: tuple[Route, ...]
--- a/packages/burdockchute/burdockchute/model/upstreams.py
+++ b/packages/burdockchute/burdockchute/model/upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams as the platform lists them."""
+"""Upstreams, as the platform's list describes them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Endpoint(NamedTuple):
-    """IP number and port.
+    """An IP address and port.
 
     >>> str(Endpoint('10.0.0.1', 80))
     '10.0.0.1:80'
@@ -23,11 +23,11 @@
 
 
 class Upstream(NamedTuple):
-    """One start of an upstream.
+    """One run of an upstream, from its start to its end.
 
-    `started_ms` is the Unix time of its start: an upstream that restarts may
-    keep its id, and then holds nothing of what it held. `versions` gives the
-    version of each model that it has loaded.
+    `started_ms` is the Unix time of its start; an upstream that restarts may
+    keep its id, but has lost everything that it had in memory. `versions`
+    has the version of each loaded model.
     """
 
     id: str
@@ -42,14 +42,14 @@
 
 
 class UpstreamListed(NamedTuple):
-    """The list names an upstream or has changed what it says of one."""
+    """An upstream was added to the list, or its entry has changed."""
 
     position: Position
     upstream: Upstream
 
 
 class UpstreamUnlisted(NamedTuple):
-    """The list names an upstream no more, or says nothing usable of it."""
+    """An upstream was removed from the list, or its entry is unusable."""
 
     position: Position
     id: str
