--- a/packages/burdockchute/burdockchute/model/__init__.py
+++ b/packages/burdockchute/burdockchute/model/__init__.py
@@ -1,3 +1,3 @@
-"""Typed data of the system: rows, requests, outcomes, members, findings."""
+"""Data types of the system: rows, requests, outcomes, members, findings."""
 
 from __future__ import annotations
--- a/packages/burdockchute/burdockchute/model/changes.py
+++ b/packages/burdockchute/burdockchute/model/changes.py
@@ -1,4 +1,4 @@
-"""Messages that tell a task of a new table or new members."""
+"""Messages that notify a task of a new table or new members."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class TableChanged(NamedTuple):
-    """The table has moved forward."""
+    """A newer table is in effect."""
 
     table: Table
 
 
 class MembersChanged(NamedTuple):
-    """All instances known at present; replaces what was known before."""
+    """All instances that are currently known; replaces the previous list."""
 
     members: tuple[Member, ...]
--- a/packages/burdockchute/burdockchute/model/claims.py
+++ b/packages/burdockchute/burdockchute/model/claims.py
@@ -1,4 +1,7 @@
-"""Messages between the router and the task that claims keys in the log."""
+"""Messages between the router and the task that claims idempotency keys.
+
+Claims are records in the platform's log.
+"""
 
 from __future__ import annotations
 
@@ -11,9 +14,9 @@
 
 
 class ClaimRequested(NamedTuple):
-    """A non-idempotent request may be dispatched once its key is won.
+    """A non-idempotent request, to be dispatched once its key is claimed.
 
-    The verdict goes to the queue `replies` as one `ClaimDecided`.
+    The verdict is put on the queue `replies` as one `ClaimDecided`.
     """
 
     ctx: RequestContext
@@ -22,15 +25,15 @@
 
 
 class ClaimDecided(NamedTuple):
-    """What became of a claim; only Won allows a dispatch."""
+    """The verdict on a claim; only Won allows a dispatch."""
 
     request_id: str
     attempt_id: str
     verdict: Verdict
 
 
-# Each verdict has a member of its own: two named tuples without any are
-# equal, whatever their types.
+# Each verdict has at least one field, since two named tuples without fields
+# compare equal even if their types differ.
 
 
 class Won(NamedTuple):
@@ -40,7 +43,7 @@
 
 
 class Recorded(NamedTuple):
-    """An earlier request with this key and body ended so."""
+    """An earlier request with this key and body ended with `outcome`."""
 
     outcome: Answered | Unknown
 
@@ -58,7 +61,7 @@
 
 
 class Unavailable(NamedTuple):
-    """No verdict can be had now; the claim may have landed all the same."""
+    """No verdict is available now; the claim may still be in the log."""
 
     reason: str
     retry_after_s: float
@@ -74,14 +77,14 @@
 
 
 class ClaimReleased(NamedTuple):
-    """The attempt was certainly not run and never will be."""
+    """The attempt was not run and never will be."""
 
     ctx: RequestContext
     attempt_id: str
 
 
 class ClaimFinished(NamedTuple):
-    """The attempt was handed on and ended so."""
+    """The attempt was forwarded and ended with `outcome`."""
 
     ctx: RequestContext
     attempt_id: str
--- a/packages/burdockchute/burdockchute/model/crash_reports.py
+++ b/packages/burdockchute/burdockchute/model/crash_reports.py
@@ -1,4 +1,4 @@
-"""Messages about requests that were in flight in a crash."""
+"""Messages about requests that were in flight when an upstream crashed."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class CrashReport(NamedTuple):
-    """An upstream went away with this request in flight.
+    """An upstream crashed while this request was in flight there.
 
-    `alone` is true where it ran there by itself, `convicted` where it is
-    refused from now on.
+    `alone` is whether it was the only request in flight, `convicted` whether
+    it is refused from now on.
     """
 
     fingerprint: str
@@ -19,7 +19,7 @@
 
 
 class PeerCrashReport(NamedTuple):
-    """Another entry saw a crash, `age_s` ago."""
+    """A crash that another entry reported, seen `age_s` ago."""
 
     crash: CrashReport
     age_s: float
--- a/packages/burdockchute/burdockchute/model/link_events.py
+++ b/packages/burdockchute/burdockchute/model/link_events.py
@@ -1,4 +1,4 @@
-"""Messages about links to agents that have become slow."""
+"""Messages about slow links to agents."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 
 
 class ProbeRequested(NamedTuple):
-    """The link to an agent is to be probed; `sent_at` comes back with it."""
+    """A request to probe the link to an agent, which returns `sent_at`."""
 
     agent: str
     sent_at: float
 
 
 class ProbeReturned(NamedTuple):
-    """The agent has returned the probe that was sent at `sent_at`."""
+    """An agent has returned the probe that was sent at `sent_at`."""
 
     agent: str
     sent_at: float
 
 
 class LinkStateReport(NamedTuple):
-    """An entry tells the others whether the link to an agent is slow."""
+    """An entry reports to the others whether the link to an agent is slow."""
 
     agent: str
     is_slow: bool
 
 
 class LinkLost(NamedTuple):
-    """There is no link to an agent any more."""
+    """The link to an agent was closed."""
 
     agent: str
 
--- a/packages/burdockchute/burdockchute/model/outcomes.py
+++ b/packages/burdockchute/burdockchute/model/outcomes.py
@@ -1,8 +1,8 @@
 """The three final outcomes of a request.
 
-A request was answered, was certainly not run, or nobody can tell. Only a
-process that knows that it did not hand a request on may say NotRun; every
-doubt is Unknown.
+A request was answered, was certainly not run, or its outcome is unknown. Only
+a process that knows that it did not forward the request may report NotRun; in
+any doubt the outcome is Unknown.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Answered(NamedTuple):
-    """The whole answer of an upstream, from one set of weights."""
+    """The complete answer of an upstream, from one set of weights."""
 
     status: int
     content_type: str
@@ -21,7 +21,7 @@
 
 
 class NotRun(NamedTuple):
-    """Certainly not run. `retry_after_s` tells when to come back."""
+    """Certainly not run; the caller may retry after `retry_after_s`."""
 
     reason: str
     status: int = 503
@@ -29,7 +29,7 @@
 
 
 class Unknown(NamedTuple):
-    """Handed on, and what became of it can't be told.
+    """Forwarded, with an unknown outcome.
 
     `status` is the HTTP status of the response: 504 for a request that got
     no answer in time, 502 for one whose upstream was lost, 409 for a resend
@@ -50,7 +50,7 @@
 
 
 def name_of(outcome: Outcome) -> str:
-    """Give the word that stands in the response header.
+    """Return the outcome's name in the response header.
 
     >>> name_of(NotRun('no upstream'))
     'not-run'
--- a/packages/burdockchute/burdockchute/model/replies.py
+++ b/packages/burdockchute/burdockchute/model/replies.py
@@ -1,4 +1,4 @@
-"""Messages between the task of a caller and the router of an entry."""
+"""Messages between a caller's task and the router of an entry."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 
 
 class Submit(NamedTuple):
-    """A checked request; its answer goes to the queue `replies`."""
+    """A validated request; its answer is put on the queue `replies`."""
 
     ctx: RequestContext
     replies: Any
 
 
 class CallerGone(NamedTuple):
-    """Nobody waits for this request's answer any more."""
+    """The caller of this request has disconnected."""
 
     request_id: str
 
 
 class AnswerStarted(NamedTuple):
-    """The first part follows; the answer comes from these weights."""
+    """The first part follows; the answer is from these weights."""
 
     digest: str
     adapter_digest: str
 
 
 class Part(NamedTuple):
-    """The JSON of one event of a stream, or the whole body of an answer."""
+    """The JSON of one event of a stream, or the full body of an answer."""
 
     data: bytes
 
 
 class Done(NamedTuple):
-    """The final outcome; nothing follows. `Answered.body` is empty here."""
+    """The final outcome and last message; `Answered.body` is empty here."""
 
     outcome: Outcome
 
@@ -45,10 +45,10 @@
 
 
 class RequestSummary(NamedTuple):
-    """What the entry measured of one request, for objectives and metrics.
+    """Measurements of one request, for objectives and metrics.
 
-    Times are seconds after arrival; `first_part_s` is None where no part
-    was passed on. `attempts` counts how often it was handed on.
+    Times are seconds after arrival; `first_part_s` is None if no part was
+    passed to the caller. `attempts` counts how often it was forwarded.
     """
 
     ctx: RequestContext
--- a/packages/burdockchute/burdockchute/model/requests.py
+++ b/packages/burdockchute/burdockchute/model/requests.py
@@ -1,4 +1,4 @@
-"""What the system knows of one request of a caller."""
+"""A caller's request as the system handles it."""
 
 from __future__ import annotations
 
@@ -6,13 +6,14 @@
 
 
 class RequestContext(NamedTuple):
-    """A request after it was checked and its target resolved.
+    """A request that was validated and whose target was resolved.
 
     Times are seconds of the entry's monotonic clock. `target` names a model,
-    adapter or service row. `digest` and `adapter_digest` are pinned when the
-    request is placed, and are empty before and for services. `fingerprint`
-    is a digest over customer, target and body. `prefixes` are digests of the
-    prompt's first 1, 2, 3... blocks, longest last.
+    adapter or service row. `digest` and `adapter_digest` are set when the
+    request is placed and do not change afterwards; they are empty before
+    that, and for services. `fingerprint` is a digest over customer, target
+    and body. `prefixes` are digests of the prompt's first 1, 2, 3... blocks,
+    longest last.
     """
 
     request_id: str
--- a/packages/burdockchute/burdockchute/wire/__init__.py
+++ b/packages/burdockchute/burdockchute/wire/__init__.py
@@ -1,7 +1,7 @@
-"""Messages between burdockchute's own processes, as thrift structs.
+"""Messages between burdockchute's processes, as thrift structs.
 
-`burdockchute.thrift` is the source; `gen` is made from it by `make wire` and
-committed, so that a build needs no generator.
+`burdockchute.thrift` is the source; `make wire` generates `gen` from it. The
+generated code is committed, so that a build does not need the generator.
 """
 
 from __future__ import annotations
--- a/packages/burdockchute/burdockchute/wire/codec.py
+++ b/packages/burdockchute/burdockchute/wire/codec.py
@@ -1,4 +1,4 @@
-"""Turn messages into bytes and back.
+"""Encode and decode messages.
 
 >>> from burdockchute.wire.gen.burdockchute import ttypes
 >>> decode(encode(ttypes.Cancel(request_id='r1'))).request_id
@@ -18,11 +18,11 @@
 
 
 class WireError(Exception):
-    """Bytes that are no message of ours."""
+    """The bytes are not a valid message."""
 
 
 def encode(message: Any) -> bytes:
-    """Give the bytes of one message, wrapped in its envelope."""
+    """Return the bytes of a message, wrapped in an envelope."""
     field = _FIELD_OF_TYPE[type(message)]
     envelope = ttypes.Envelope(**{field: message})
     buffer = TTransport.TMemoryBuffer()
@@ -32,7 +32,7 @@
 
 
 def decode(data: bytes) -> Any:
-    """Give the message in one frame; raises WireError for anything else."""
+    """Return the message in a frame; raises WireError if it is invalid."""
     envelope = ttypes.Envelope()
     transport = TTransport.TBufferedTransport(
         TTransport.TMemoryBuffer(data), len(data)
@@ -45,14 +45,14 @@
     try:
         envelope.read(protocol)
     except Exception as exc:
-        # The accelerated decoder raises several unrelated types for bytes
-        # that it cannot read; to a caller they are all one thing.
+        # The accelerated decoder raises several unrelated types for invalid
+        # bytes; callers handle all of them alike.
         raise WireError(f'not a message: {exc!r}') from exc
     for field in _FIELDS:
         message = getattr(envelope, field)
         if message is not None:
             return message
-    raise WireError('an envelope without a known message')
+    raise WireError('envelope has no known message')
 
 
 _FIELDS = [spec[2] for spec in ttypes.Envelope.thrift_spec if spec]
