--- a/packages/burdockchute-agent/burdockchute_agent/chunk_sender.py
+++ b/packages/burdockchute-agent/burdockchute_agent/chunk_sender.py
@@ -7,7 +7,7 @@
 
 from burdockchute.nodes.peers import PeerLink
 from burdockchute.weights.copies import Copy
-from burdockchute.weights.manifest import document_of
+from burdockchute.weights.manifest import serialize_manifest
 from burdockchute.wire import messages
 from burdockchute_agent.bandwidth import Bandwidth
 from burdockchute_agent.origin_schedule import MANIFEST_INDEX
@@ -57,10 +57,12 @@
         """
         digest, index = request.digest, request.index
         copy = self._copy_of(digest)
-        if copy is None or (index != MANIFEST_INDEX and not copy.holds(index)):
+        if copy is None or (
+            index != MANIFEST_INDEX and not copy.has_chunk(index)
+        ):
             peer.send(_refusal(digest, index, 'unknown', RETRY_MS))
         elif index == MANIFEST_INDEX:
-            document = document_of(copy.manifest)
+            document = serialize_manifest(copy.manifest)
             peer.send(messages.Chunk(digest, index, document, '', 0))
         elif not self._uploads.add(Upload(peer.name, digest, index)):
             waiting = len(self._uploads) * copy.manifest.chunk_size
--- a/packages/burdockchute-agent/burdockchute_agent/copier.py
+++ b/packages/burdockchute-agent/burdockchute_agent/copier.py
@@ -175,7 +175,7 @@
         sent_at = self._remove_request(chunk, name)
         if self.copy is None:
             return True
-        if self.copy.holds(chunk):
+        if self.copy.has_chunk(chunk):
             twice = self.received.twice + len(data)
             self.received = self.received._replace(twice=twice)
             return True
@@ -209,7 +209,7 @@
         self._mean_read_s = sources.moving_average(
             self._mean_read_s, now - started
         )
-        if self.copy is None or self.copy.holds(chunk):
+        if self.copy is None or self.copy.has_chunk(chunk):
             return True
         if not self.copy.add(chunk, data):
             self.schedule.read_failed(now)
@@ -222,7 +222,7 @@
 
     def add_local_chunk(self, chunk: int, data: bytes, now: float) -> bool:
         """Take a chunk found on this machine; False if it is corrupt."""
-        if self.copy is None or self.copy.holds(chunk):
+        if self.copy is None or self.copy.has_chunk(chunk):
             return True
         if not self.copy.add(chunk, data):
             return False
--- a/packages/burdockchute-agent/burdockchute_agent/copy_manager.py
+++ b/packages/burdockchute-agent/burdockchute_agent/copy_manager.py
@@ -261,7 +261,7 @@
         if copy is None:
             return []
         count = len(copy.manifest.chunks)
-        return [index for index in range(count) if not copy.holds(index)]
+        return [index for index in range(count) if not copy.has_chunk(index)]
 
     # Messages and links.
 
--- a/packages/burdockchute-agent/burdockchute_agent/engine_state_tracker.py
+++ b/packages/burdockchute-agent/burdockchute_agent/engine_state_tracker.py
@@ -5,7 +5,7 @@
 from burdockchute.upstreams.gate import Weights
 from burdockchute.upstreams.orders import EngineError
 from burdockchute.upstreams.orders import EngineState
-from burdockchute.upstreams.orders import Loaded
+from burdockchute.upstreams.orders import LoadedWeights
 
 # Failed reads in a row after which the engine counts as gone. One lost reply
 # is not enough.
@@ -93,7 +93,9 @@
         return self.state is not None and self.state.fence > fence
 
 
-def _digests(items: frozenset[Loaded], kind: str, name: str) -> frozenset[str]:
+def _digests(
+    items: frozenset[LoadedWeights], kind: str, name: str
+) -> frozenset[str]:
     return frozenset(
         item.digest
         for item in items
--- a/packages/burdockchute-agent/burdockchute_agent/engine_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/engine_task.py
@@ -12,7 +12,7 @@
 from gevent import queue
 from returns.result import Success
 
-from burdockchute.upstreams.orders import Engine
+from burdockchute.upstreams.orders import EngineClient
 from burdockchute.upstreams.orders import EngineState
 from burdockchute.upstreams.orders import Order
 from burdockchute_agent.events import EngineStateRead
@@ -38,7 +38,7 @@
 
     def run(self) -> None:
         """Poll the engine and send orders until killed."""
-        engine = Engine(self._url)
+        engine = EngineClient(self._url)
         try:
             while True:
                 self._send_next_order(engine)
@@ -55,13 +55,13 @@
         finally:
             engine.close()
 
-    def _send_next_order(self, engine: Engine) -> None:
+    def _send_next_order(self, engine: EngineClient) -> None:
         is_busy = time.monotonic() < self._busy_until
         try:
             order = self.orders.get(timeout=BUSY_POLL_S if is_busy else POLL_S)
         except queue.Empty:
             return
-        reply = engine.give(order)
+        reply = engine.send(order)
         outcome = (
             reply.unwrap() if isinstance(reply, Success) else reply.failure()
         )
--- a/packages/burdockchute-agent/burdockchute_agent/runner.py
+++ b/packages/burdockchute-agent/burdockchute_agent/runner.py
@@ -154,7 +154,7 @@
             self._send_end(
                 link, _answer_end(req, 0, 0, error='deadline passed')
             )
-        except calls.Broken as exc:
+        except calls.AnswerFailed as exc:
             self._send_end(
                 link,
                 _answer_end(req, 0, 0, error=str(exc), crashed=exc.crashed),
@@ -191,7 +191,7 @@
     def _run_service(self, link: links.Link, req: messages.Dispatch) -> None:
         reply = self._send_call(req, req.method, req.path, req.body)
         try:
-            body = calls.whole_body(reply, MAX_PLAIN_ANSWER_BYTES)
+            body = calls.read_body(reply, MAX_PLAIN_ANSWER_BYTES)
         finally:
             reply.close()
         _send(link, messages.AnswerPart(req.request_id, 0, body))
@@ -203,7 +203,9 @@
         try:
             reply = self._forward(link, req)
         except _WeightsMismatchError as exc:
-            self._gate.doubt(_row_name(req), req.digest, req.adapter_digest)
+            self._gate.mark_mismatched(
+                _row_name(req), req.digest, req.adapter_digest
+            )
             self._stop_on_engine(req)
             self._send_end(link, _answer_end(req, 0, 0, error=str(exc)))
         except _NotRunError:
@@ -280,7 +282,7 @@
     path = f'/v1/cancel/{request_id}'
     try:
         calls.send(url, 'POST', path, b'', {}, CANCEL_TIMEOUT_S).close()
-    except (calls.NotConnected, calls.Broken):
+    except (calls.NotConnected, calls.AnswerFailed):
         # An engine that is down has nothing to cancel.
         pass
 
@@ -295,13 +297,13 @@
         _check_digests(req, data)
         link.send(messages.AnswerPart(req.request_id, sequence, data.encode()))
         sequence += 1
-    raise calls.Broken('stream ended without its last event')
+    raise calls.AnswerFailed('stream ended without its last event')
 
 
 def _forward_plain(
     link: links.Link, req: messages.Dispatch, reply: calls.Reply
 ) -> int:
-    body = calls.whole_body(reply, MAX_PLAIN_ANSWER_BYTES)
+    body = calls.read_body(reply, MAX_PLAIN_ANSWER_BYTES)
     if reply.status == 200:
         _check_digests(req, body)
     link.send(messages.AnswerPart(req.request_id, 0, body))
@@ -317,7 +319,7 @@
         event = json.loads(data)
         actual = event.get('digest', ''), event.get('adapter_digest', '')
     except (ValueError, AttributeError):
-        raise calls.Broken('answer is not a JSON object') from None
+        raise calls.AnswerFailed('answer is not a JSON object') from None
     if actual != (req.digest, req.adapter_digest):
         raise _WeightsMismatchError(
             f'answer is from weights {actual[0]!r}, adapter {actual[1]!r}'
--- a/packages/burdockchute-agent/burdockchute_agent/staged/rollout.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/rollout.py
@@ -111,7 +111,7 @@
         chunks = [
             chunk
             for chunk in range(len(copy.manifest.chunks))
-            if copy.holds(chunk) and (version, chunk) not in self._staged
+            if copy.has_chunk(chunk) and (version, chunk) not in self._staged
         ]
         return ChunksToStage(version, copy, chunks) if chunks else None
 
--- a/packages/burdockchute-agent/burdockchute_agent/staged/staged_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/staged/staged_task.py
@@ -33,7 +33,7 @@
 from burdockchute.nodes.agents import colocated_agent
 from burdockchute.nodes.peers import Peers
 from burdockchute.weights.copies import Copy
-from burdockchute.weights.manifest import parse_named
+from burdockchute.weights.manifest import parse_unverified
 from burdockchute.wire import messages
 from burdockchute_agent.bandwidth import Bandwidth
 from burdockchute_agent.copy_manager import CopyManager
@@ -116,7 +116,7 @@
         link = machine.link_bytes_per_s
         self._copies = CopyManager(
             self._own,
-            WeightsSource(self._open_origin, parse_named),
+            WeightsSource(self._open_origin, parse_unverified),
             Bandwidth(link, link, now()),
             self._peers,
             self.inbox,
--- a/packages/burdockchute-agent/burdockchute_agent/weights_task.py
+++ b/packages/burdockchute-agent/burdockchute_agent/weights_task.py
@@ -37,9 +37,9 @@
 from burdockchute.upstreams.gate import Gate
 from burdockchute.upstreams.gate import Weights
 from burdockchute.upstreams.orders import OrderRefused
-from burdockchute.weights.manifest import document_of
 from burdockchute.weights.manifest import Manifest
 from burdockchute.weights.manifest import parse
+from burdockchute.weights.manifest import serialize_manifest
 from burdockchute.weights.origin import Origin
 from burdockchute.wire import messages
 from burdockchute_agent.bandwidth import Bandwidth
@@ -235,7 +235,7 @@
             )
 
     def _step(self, now: float) -> float:
-        for weights in self.gate.take_doubts():
+        for weights in self.gate.take_mismatched():
             warn('answer_of_other_weights', digest=weights.digest)
             self._tracker.mark_doubtful(weights, now)
         # Chunks arrive hundreds of times a second; rows needn't be checked
@@ -271,7 +271,7 @@
             # Another agent has taken over this instance. Requests admitted
             # here could be answered by weights that it switches to.
             warn('superseded', fence=self.fence)
-            self.gate.shut_all()
+            self.gate.close_all()
         self._is_superseded = is_superseded
 
     def _step_row(self, switch: RowSwitch, now: float) -> None:
@@ -360,7 +360,7 @@
 
     def _shut(self, switch: RowSwitch, digest: str) -> None:
         weights = weights_of(switch, digest)
-        self.gate.shut(weights)
+        self.gate.close(weights)
         event(
             'gate_shut',
             row=f'{switch.kind}/{switch.name}',
@@ -396,4 +396,4 @@
 
 def manifest_header(manifest: Manifest) -> str:
     """Return the value of the header Burdockchute-Manifest."""
-    return base64.b64encode(document_of(manifest)).decode()
+    return base64.b64encode(serialize_manifest(manifest)).decode()
--- a/packages/burdockchute-agent/tests/test_rollouts.py
+++ b/packages/burdockchute-agent/tests/test_rollouts.py
@@ -186,7 +186,7 @@
             digest,
             len(document['chunks']),
             answer,
-            manifests.document_of(
+            manifests.serialize_manifest(
                 manifests.build(
                     weights.name,
                     fake_weights.read(weights, 0, weights.size),
--- a/packages/burdockchute-agent/tests/test_weights_parts.py
+++ b/packages/burdockchute-agent/tests/test_weights_parts.py
@@ -13,7 +13,7 @@
 from burdockchute.upstreams.gate import Weights
 from burdockchute.upstreams.orders import EngineError
 from burdockchute.upstreams.orders import EngineState
-from burdockchute.upstreams.orders import Loaded
+from burdockchute.upstreams.orders import LoadedWeights
 from burdockchute.upstreams.orders import Order
 from burdockchute.weights import manifest as manifests
 from burdockchute.wire import messages
@@ -259,7 +259,7 @@
     SETTLE_S = settle_s(0)
 
     def state(self, *digests: str, fence: int = 7, checks: bool = True):
-        loaded = frozenset(Loaded('model', 'story', d) for d in digests)
+        loaded = frozenset(LoadedWeights('model', 'story', d) for d in digests)
         return EngineState(fence, checks, loaded, frozenset())
 
     def settled(
--- a/packages/burdockchute-entry/burdockchute_entry/request_metrics.py
+++ b/packages/burdockchute-entry/burdockchute_entry/request_metrics.py
@@ -57,9 +57,9 @@
             if covers(objective, done):
                 self._count(objective, done, time.time())
 
-    def burn_counts(self) -> list[reports.CountsOnWire]:
+    def burn_counts(self) -> list[reports.PageEntry]:
         """Give what the burn report adds up."""
-        return reports.page_of(self._counts, time.time(), self._targets)
+        return reports.burn_page(self._counts, time.time(), self._targets)
 
     def _count(
         self, objective: ObjectiveRow, done: RequestSummary, now: float
--- a/packages/burdockchute-entry/burdockchute_entry/straight/attempts.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/attempts.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from burdockchute.upstreams.connections import Broken
+from burdockchute.upstreams.connections import AnswerFailed
 from burdockchute.upstreams.connections import Connection
 from burdockchute_entry.straight.replies import CompleteAnswer
 from burdockchute_entry.straight.replies import StreamAnswer
@@ -57,11 +57,11 @@
 AttemptResult = NotExecuted | OutcomeUnknown | Failed | TimedOut | Answered
 
 
-class WeightsReplaced(Broken):
+class WeightsReplaced(AnswerFailed):
     """The request was cancelled before it started on replaced weights."""
 
 
-class UpstreamSilent(Broken):
+class UpstreamSilent(AnswerFailed):
     """The upstream sent nothing for the silence limit and may be down."""
 
 
--- a/packages/burdockchute-entry/burdockchute_entry/straight/exchange.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/exchange.py
@@ -14,7 +14,7 @@
 from burdockchute.model.outcomes import Unknown
 from burdockchute.model.requests import RequestContext
 from burdockchute.model.routes import Route
-from burdockchute.upstreams.connections import Broken
+from burdockchute.upstreams.connections import AnswerFailed
 from burdockchute_entry.straight.attempts import Answered
 from burdockchute_entry.straight.attempts import AttemptResult
 from burdockchute_entry.straight.attempts import Failed
@@ -128,7 +128,7 @@
         except _AnsweredByAnother as exc:
             self.sender.mark_broken(sent, UpstreamSilent(str(exc), False))
             return exc.attempt
-        except Broken as exc:
+        except AnswerFailed as exc:
             return self.sender.mark_broken(sent, exc)
         except BaseException:
             # The caller disconnected, or an unexpected error occurred.
@@ -145,7 +145,9 @@
         if head.not_run:
             return sender.take_refusal(sent, head)
         if head.status < 400 and not head.sealed:
-            raise Broken(f'status {head.status} without a signature', False)
+            raise AnswerFailed(
+                f'status {head.status} without a signature', False
+            )
         if head.is_stream and head.status == OK:
             return self._start_stream(sent, head)
         body = sender.read_body(
--- a/packages/burdockchute-entry/burdockchute_entry/straight/handover.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/handover.py
@@ -15,9 +15,9 @@
 
 from burdockchute.decisions import wait_limits
 from burdockchute.model.exchanges import AnswerHead
-from burdockchute.upstreams.connections import Broken
+from burdockchute.upstreams.connections import AnswerFailed
 from burdockchute.upstreams.events import Event
-from burdockchute.upstreams.events import EventCutter
+from burdockchute.upstreams.events import EventSplitter
 from burdockchute_entry.straight.attempts import NotExecuted
 from burdockchute_entry.straight.attempts import OnInterrupted
 from burdockchute_entry.straight.attempts import OutcomeUnknown
@@ -46,7 +46,7 @@
         self.sent = sent
         self.head = head
         self._sender = sender
-        self._cutter = EventCutter()
+        self._splitter = EventSplitter()
 
     @property
     def upstream(self) -> str:
@@ -56,15 +56,15 @@
     @property
     def partial_event(self) -> bytes:
         """The bytes after the last complete event."""
-        return self._cutter.rest
+        return self._splitter.partial_event
 
     def next_batch(
         self, should_stop: Callable[[], bool] | None = None
     ) -> EventBatch | None:
         """Wait for more events; None if the deadline passes first.
 
-        Raises Broken, and Waiting once `should_stop` returns true while
-        nothing has arrived.
+        Raises AnswerFailed, and NoDataYet once `should_stop` returns true
+        while nothing has arrived.
         """
         while True:
             data = self._sender.read_part(self.sent, should_stop)
@@ -72,7 +72,7 @@
                 return None
             if not data:
                 return EventBatch([], True)
-            events = self._cutter.feed(data)
+            events = self._splitter.feed(data)
             if events:
                 self._sender.mark_started(self.sent)
                 return EventBatch(events, False)
@@ -182,9 +182,9 @@
             run = StreamRun(self._sender, sent, self._validated(head))
             batch = run.next_batch()
             if batch is None:
-                raise Broken('no event in time', False)
+                raise AnswerFailed('no event in time', False)
             return Continuation(run, batch)
-        except Broken as exc:
+        except AnswerFailed as exc:
             self._on_interrupted(target, cause_of(exc), str(exc))
             return self._sender.mark_broken(sent, exc)
         except BaseException:
@@ -193,21 +193,23 @@
 
     def _validated(self, head: AnswerHead | None) -> AnswerHead:
         if head is None:
-            raise Broken('no answer in time', False)
+            raise AnswerFailed('no answer in time', False)
         if head.status != OK or not head.is_stream or not head.sealed:
-            raise Broken(f'status {head.status} for the remainder', False)
+            raise AnswerFailed(
+                f'status {head.status} for the remainder', False
+            )
         if None not in (head.version, self._head.version):
             if head.version != self._head.version:
-                raise Broken(
+                raise AnswerFailed(
                     f'the remainder is of version {head.version}', False
                 )
         return head
 
 
-def cause_of(exc: Broken) -> str:
+def cause_of(exc: AnswerFailed) -> str:
     """Return the cause that is logged for a failed attempt at a stream."""
     if isinstance(exc, UpstreamSilent):
         return 'silent'
     if isinstance(exc, WeightsReplaced):
         return 'overtaken'
-    return 'broken_off' if exc.ended else 'invalid'
+    return 'broken_off' if exc.closed_by_upstream else 'invalid'
--- a/packages/burdockchute-entry/burdockchute_entry/straight/sending.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/sending.py
@@ -24,11 +24,11 @@
 from burdockchute.model.requests import RequestContext
 from burdockchute.model.routes import Kind
 from burdockchute.model.routes import Route
-from burdockchute.upstreams.connections import Broken
+from burdockchute.upstreams.connections import AnswerFailed
 from burdockchute.upstreams.connections import Connection
 from burdockchute.upstreams.connections import HeaderList
+from burdockchute.upstreams.connections import NoDataYet
 from burdockchute.upstreams.connections import NotConnected
-from burdockchute.upstreams.connections import Waiting
 from burdockchute_entry.straight.attempts import Failed
 from burdockchute_entry.straight.attempts import NotExecuted
 from burdockchute_entry.straight.attempts import OutcomeUnknown
@@ -192,7 +192,7 @@
         return SentRequest(slot, conn, self._deps.now(), start_by)
 
     def send(self, sent: SentRequest) -> None:
-        """Send the request; raises Broken."""
+        """Send the request; raises AnswerFailed."""
         forwarded = ForwardedRequest(
             instance=sent.slot.target.id,
             customer=self.ctx.customer,
@@ -220,11 +220,11 @@
         return status >= 400
 
     # Reading. Each method returns None once the deadline has passed, and
-    # raises Broken.
+    # raises AnswerFailed.
 
     def read_head(self, sent: SentRequest) -> AnswerHead | None:
         """Wait for the head of the answer."""
-        read = self._read_until_deadline(sent, sent.conn.head)
+        read = self._read_until_deadline(sent, sent.conn.read_head)
         return self._deps.adapter.decode_answer(*read) if read else None
 
     def read_part(
@@ -232,10 +232,12 @@
     ) -> bytes | None:
         """Wait for more of the body; returns empty bytes at its end.
 
-        Also raises Waiting once `should_stop` returns true while nothing has
+        Also raises NoDataYet once `should_stop` returns true while nothing has
         arrived.
         """
-        return self._read_until_deadline(sent, sent.conn.body, should_stop)
+        return self._read_until_deadline(
+            sent, sent.conn.read_body_part, should_stop
+        )
 
     def read_body(
         self,
@@ -252,7 +254,9 @@
         while data := read_next():
             size += len(data)
             if size > MAX_ANSWER_BYTES:
-                raise Broken(f'answer exceeds {MAX_ANSWER_BYTES} bytes', False)
+                raise AnswerFailed(
+                    f'answer exceeds {MAX_ANSWER_BYTES} bytes', False
+                )
             parts.append(data)
         return None if data is None else b''.join(parts)
 
@@ -271,7 +275,7 @@
         while True:
             try:
                 result = read()
-            except Waiting:
+            except NoDataYet:
                 now = self._deps.now()
                 if now > self.ctx.deadline + ANSWER_GRACE_S:
                     return None
@@ -365,14 +369,16 @@
         # the connection.
         try:
             drained = self.read_body(sent) is not None
-        except Broken:
+        except AnswerFailed:
             drained = False
         if drained:
             self._keep_connection(sent, head)
         else:
             sent.conn.close()
 
-    def mark_broken(self, sent: SentRequest, exc: Broken) -> OutcomeUnknown:
+    def mark_broken(
+        self, sent: SentRequest, exc: AnswerFailed
+    ) -> OutcomeUnknown:
         """End the attempt with an incomplete answer."""
         target = sent.slot.target
         self.pending.avoided.add(target.id)
@@ -380,7 +386,7 @@
             self.abandon(sent)
             return OutcomeUnknown(str(exc))
         sent.conn.close()
-        if exc.ended and not self.inbound.resume_after:
+        if exc.closed_by_upstream and not self.inbound.resume_after:
             self._report_suspect(sent)
         target.record_failure(self._deps.now())
         self._deps.scheduler.mark_failed(
--- a/packages/burdockchute-entry/burdockchute_entry/straight/streams.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/streams.py
@@ -17,9 +17,9 @@
 from burdockchute.decisions import stream_moves
 from burdockchute.decisions import wait_limits
 from burdockchute.model.exchanges import AnswerHead
-from burdockchute.upstreams.connections import Broken
-from burdockchute.upstreams.connections import LOOK_S
-from burdockchute.upstreams.connections import Waiting
+from burdockchute.upstreams.connections import AnswerFailed
+from burdockchute.upstreams.connections import NoDataYet
+from burdockchute.upstreams.connections import POLL_INTERVAL_S
 from burdockchute.upstreams.events import Event
 from burdockchute_entry.straight.attempts import OutcomeUnknown
 from burdockchute_entry.straight.attempts import SentRequest
@@ -76,7 +76,7 @@
     def read_first_batch(self) -> EventBatch | None:
         """Wait for the first events; None if the deadline passes first.
 
-        Raises Broken.
+        Raises AnswerFailed.
         """
         assert self._run is not None
         batch = self._run.next_batch()
@@ -122,12 +122,12 @@
                     return continuation
             try:
                 batch = self._run.next_batch(self._is_handover_ready)
-            except Waiting:
+            except NoDataYet:
                 continue
             except UpstreamSilent as exc:
                 self._start_parallel_handover(exc)
                 continue
-            except Broken as exc:
+            except AnswerFailed as exc:
                 self._replace_broken_run(exc)
                 continue
             if batch is None:
@@ -193,7 +193,7 @@
         self._record_interruption(self._run.upstream, 'silent', str(exc))
         self._start_handover(None)
 
-    def _replace_broken_run(self, exc: Broken) -> None:
+    def _replace_broken_run(self, exc: AnswerFailed) -> None:
         """Request the remainder of a run that has broken off.
 
         Raises StreamBroken.
@@ -277,7 +277,7 @@
             self._sender, self.head, slot, self._record_interruption
         )
         if self._run is not None:
-            self._run.sent.conn.look_each(HANDOVER_POLL_S)
+            self._run.sent.conn.set_poll_interval(HANDOVER_POLL_S)
 
     def _switch_over(self, handover: Handover) -> EventBatch | NoContinuation:
         """Switch to the run that the handover has started, if any."""
@@ -326,7 +326,7 @@
         """Continue with the current run, if there is one."""
         if self._run is not None:
             self._sender.upstream = self._run.upstream
-            self._run.sent.conn.look_each(LOOK_S)
+            self._run.sent.conn.set_poll_interval(POLL_INTERVAL_S)
 
     # Logging.
 
--- a/packages/burdockchute-entry/burdockchute_entry/straight/targets.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/targets.py
@@ -155,11 +155,11 @@
 
     def keep(self, conn: Connection, idle_s: float, now: float) -> None:
         """Keep a connection for reuse, or close it if it can't be reused."""
-        if not conn.may_serve_on:
+        if not conn.is_reusable:
             conn.close()
             return
         known_s = idle_s if idle_s < float('inf') else DEFAULT_IDLE_S
-        conn.look_each(connections.LOOK_S)
+        conn.set_poll_interval(connections.POLL_INTERVAL_S)
         conn.idle_until = now + known_s - IDLE_MARGIN_S
         self._idle.append((conn, now))
 
--- a/packages/burdockchute-entry/burdockchute_entry/table_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/table_task.py
@@ -274,7 +274,7 @@
         self._update_snapshots(batch)
         # The answer may be old by the time it is read, if this process was
         # paused in between; the time of asking is what it is good for.
-        if table_log.is_up_to_date(len(batch.records)):
+        if table_log.reached_end(len(batch.records)):
             self._confirmed_at = max(self._confirmed_at, sent_at)
         if reduced.table.offset > old.offset:
             self.changes.add(old.offset, reduced.changed_rows)
--- a/packages/burdockchute-testing/burdockchute_testing/builders/requests.py
+++ b/packages/burdockchute-testing/burdockchute_testing/builders/requests.py
@@ -20,8 +20,8 @@
 STORY = ModelRow('story', 'v1', 'd1')
 RHYMES = AdapterRow('rhymes', 'v1', 'a1', 'story')
 PROOFS = ServiceRow('proofs', idempotent=False)
-LINDWURM = CustomerRow('lindwurm', auth.digest_of('key-l'))
-SAHYOG = CustomerRow('sahyog', auth.digest_of('key-s'), models='story')
+LINDWURM = CustomerRow('lindwurm', auth.key_digest('key-l'))
+SAHYOG = CustomerRow('sahyog', auth.key_digest('key-s'), models='story')
 
 
 def table_of(*items: rows.Row, offset: int = 1) -> Table:
--- a/packages/burdockchute-testing/burdockchute_testing/emulator/swarm.py
+++ b/packages/burdockchute-testing/burdockchute_testing/emulator/swarm.py
@@ -237,7 +237,7 @@
         """Take a peer's request for a chunk."""
         copier = self.copiers.get(digest)
         copy = copier.copy if copier is not None else None
-        if copy is None or (chunk >= 0 and not copy.holds(chunk)):
+        if copy is None or (chunk >= 0 and not copy.has_chunk(chunk)):
             self._refuse(peer, digest, chunk, 1.0)
         elif chunk < 0:
             self._swarm.after(
--- a/packages/burdockchute/burdockchute/callers/auth.py
+++ b/packages/burdockchute/burdockchute/callers/auth.py
@@ -17,7 +17,7 @@
 _SCHEME = 'bearer '
 
 
-def digest_of(key: str) -> str:
+def key_digest(key: str) -> str:
     """Give what stands in the table for a key.
 
     >>> digest_of('secret')[:8]
@@ -42,7 +42,7 @@
     if not authorization.lower().startswith(_SCHEME):
         return None
     key = authorization[len(_SCHEME) :].strip()
-    return by_digest.get(digest_of(key)) if key else None
+    return by_digest.get(key_digest(key)) if key else None
 
 
 def may_call(customer: CustomerRow, name: str) -> bool:
--- a/packages/burdockchute/burdockchute/callers/http.py
+++ b/packages/burdockchute/burdockchute/callers/http.py
@@ -23,7 +23,7 @@
 from burdockchute.callers import auth
 from burdockchute.callers import parse
 from burdockchute.callers import sse
-from burdockchute.callers.server import caller_has_gone
+from burdockchute.callers.server import caller_disconnected
 from burdockchute.callers.server import status_line
 from burdockchute.model import outcomes
 from burdockchute.model.findings import Finding
@@ -45,11 +45,11 @@
 ADAPTER_DIGEST = 'Burdockchute-Adapter-Digest'
 
 # How often a waiting task looks whether its caller has hung up.
-LOOK_S = 0.25
+DISCONNECT_POLL_S = 0.25
 
 # The router answers each request by its deadline. This much later it is
 # taken to have failed, so that no caller waits for ever.
-GRACE_S = 2.0
+ANSWER_GRACE_S = 2.0
 
 Submit = Callable[[RequestContext], queue.Queue]
 Gone = Callable[[str], None]
@@ -135,11 +135,11 @@
     return current
 
 
-def _arrival(ex: Exchange, body: bytes, now: float) -> parse.Arrival:
+def _arrival(ex: Exchange, body: bytes, now: float) -> parse.ReceivedRequest:
     environ = ex.environ
     path = environ.get('PATH_INFO', '')
     query = environ.get('QUERY_STRING', '')
-    return parse.Arrival(
+    return parse.ReceivedRequest(
         request_id=ex.request_id,
         method=environ['REQUEST_METHOD'],
         path=f'{path}?{query}' if query else path,
@@ -228,11 +228,11 @@
 ) -> Reply | None:
     while True:
         try:
-            return replies.get(timeout=LOOK_S)
+            return replies.get(timeout=DISCONNECT_POLL_S)
         except queue.Empty:
-            if caller_has_gone(ex.environ):
+            if caller_disconnected(ex.environ):
                 return None
-            if now() > ctx.deadline + GRACE_S:
+            if now() > ctx.deadline + ANSWER_GRACE_S:
                 return Done(Unknown('no answer by the deadline'))
 
 
--- a/packages/burdockchute/burdockchute/callers/parse.py
+++ b/packages/burdockchute/burdockchute/callers/parse.py
@@ -60,7 +60,7 @@
     retry_after_s: float = 0.0
 
 
-class Arrival(NamedTuple):
+class ReceivedRequest(NamedTuple):
     """A request as it came; times are monotonic seconds."""
 
     request_id: str
@@ -81,7 +81,7 @@
 
 
 def parse_request(
-    arrival: Arrival,
+    arrival: ReceivedRequest,
     customer: CustomerRow,
     table: Table,
     default_deadline_s: float,
@@ -103,7 +103,7 @@
     return Failure(Rejection(status, (Finding(place, text),)))
 
 
-def prefixes_of(prompt: str) -> tuple[str, ...]:
+def prefix_digests(prompt: str) -> tuple[str, ...]:
     """Give the digests of the prompt's first 1, 2, 3... whole blocks."""
     words = prompt.split()
     blocks = min(len(words) // BLOCK_WORDS, MAX_BLOCKS)
@@ -118,7 +118,7 @@
 
 
 def _parse_options(
-    arrival: Arrival,
+    arrival: ReceivedRequest,
     customer: CustomerRow,
     default_deadline_s: float,
     found: list[Finding],
@@ -181,7 +181,7 @@
 
 
 def _parse_completion(
-    arrival: Arrival,
+    arrival: ReceivedRequest,
     customer: CustomerRow,
     table: Table,
     options: Options,
@@ -215,7 +215,7 @@
             max_tokens=tokens,
             stream=stream,
             method='',
-            prefixes=prefixes_of(prompt),
+            prefixes=prefix_digests(prompt),
         )
     )
 
@@ -245,7 +245,7 @@
 
 
 def _parse_service(
-    arrival: Arrival,
+    arrival: ReceivedRequest,
     customer: CustomerRow,
     table: Table,
     options: Options,
@@ -299,7 +299,7 @@
 
 
 def _context(
-    arrival: Arrival,
+    arrival: ReceivedRequest,
     customer: CustomerRow,
     options: Options,
     kind: str,
@@ -327,7 +327,9 @@
     )
 
 
-def _fingerprint(customer: CustomerRow, name: str, arrival: Arrival) -> str:
+def _fingerprint(
+    customer: CustomerRow, name: str, arrival: ReceivedRequest
+) -> str:
     parts = [customer.name, name, arrival.method, arrival.path]
     hasher = blake3.blake3('\0'.join(parts).encode())
     hasher.update(b'\0' + arrival.body)
--- a/packages/burdockchute/burdockchute/callers/server.py
+++ b/packages/burdockchute/burdockchute/callers/server.py
@@ -56,7 +56,7 @@
     return f'{status} {client.responses.get(status, "Unknown")}'
 
 
-def caller_has_gone(environ: dict[str, Any]) -> bool:
+def caller_disconnected(environ: dict[str, Any]) -> bool:
     """Tell whether the caller closed its connection.
 
     A task that waits for an answer writes nothing, so it would not see this
--- a/packages/burdockchute/burdockchute/operators/burn.py
+++ b/packages/burdockchute/burdockchute/operators/burn.py
@@ -25,7 +25,7 @@
 TIMEOUT_S = 5.0
 
 
-class CountsOnWire(TypedDict):
+class PageEntry(TypedDict):
     """Events of one key, as an entry's /burn page gives them."""
 
     objective: str
@@ -85,12 +85,12 @@
     return 0 if len(pages) == len(urls) else commands.EXIT_FAILED
 
 
-def page_of(
+def burn_page(
     counts: burn.Counts, now: float, targets: Mapping[burn.Key, float]
-) -> list[CountsOnWire]:
+) -> list[PageEntry]:
     """Give what one entry counted, for its /burn page."""
     return [
-        CountsOnWire(
+        PageEntry(
             objective=key.objective,
             customer=key.customer,
             model=key.model,
@@ -106,7 +106,7 @@
     ]
 
 
-def merge(pages: list[list[CountsOnWire]]) -> list[Line]:
+def merge(pages: list[list[PageEntry]]) -> list[Line]:
     """Add up the pages of several entries."""
     lines: dict[burn.Key, Line] = {}
     for item in (item for page in pages for item in page):
@@ -195,7 +195,7 @@
     return events.total, events.bad
 
 
-def _fetch(url: str) -> list[CountsOnWire]:
+def _fetch(url: str) -> list[PageEntry]:
     client = geventhttpclient.HTTPClient.from_url(
         url, connection_timeout=TIMEOUT_S, network_timeout=TIMEOUT_S
     )
--- a/packages/burdockchute/burdockchute/operators/keys.py
+++ b/packages/burdockchute/burdockchute/operators/keys.py
@@ -37,5 +37,5 @@
         if not key:
             print('standard input: no key', file=sys.stderr)
             return base.EXIT_BAD_INPUT
-    print(f'digest={auth.digest_of(key)}')
+    print(f'digest={auth.key_digest(key)}')
     return 0
--- a/packages/burdockchute/burdockchute/operators/manifests.py
+++ b/packages/burdockchute/burdockchute/operators/manifests.py
@@ -44,7 +44,7 @@
         chunk_bytes = _parse_chunk_bytes(args.chunk_bytes)
         manifest = build(args.file, args.name or args.file.name, chunk_bytes)
         path = args.file.with_name(args.file.name + '.manifest.json')
-        path.write_bytes(manifests.document_of(manifest))
+        path.write_bytes(manifests.serialize_manifest(manifest))
     except (OSError, ValueError) as exc:
         print(f'{args.file}: {exc}', file=sys.stderr)
         return base.EXIT_BAD_INPUT
--- a/packages/burdockchute/burdockchute/operators/table_history.py
+++ b/packages/burdockchute/burdockchute/operators/table_history.py
@@ -22,7 +22,7 @@
 from burdockchute.platform.log import LogRecord
 
 
-class Past(NamedTuple):
+class HistoryEntry(NamedTuple):
     """One record with its verdict in words, and what it asked for."""
 
     offset: int
@@ -34,7 +34,7 @@
 
 def read_history(
     log: Log, key: RowKey | None = None
-) -> Result[list[Past], LogError]:
+) -> Result[list[HistoryEntry], LogError]:
     """Give the past of the table, or of one row, oldest first."""
     asked = log.extent(table_log.STREAM)
     if isinstance(asked, Failure):
@@ -63,13 +63,13 @@
 
 def _replay(
     held: list[LogRecord], table: Table | None
-) -> Iterator[tuple[set[RowKey], Past]]:
+) -> Iterator[tuple[set[RowKey], HistoryEntry]]:
     for offset, data in held:
         place = reducer.place_of(offset)
         parsed = records.parse_edit(data, place)
         if isinstance(parsed, Failure):
             text = '; '.join(f'{f.place}: {f.text}' for f in parsed.failure())
-            yield set(), Past(offset, '', '', 'not a record', text)
+            yield set(), HistoryEntry(offset, '', '', 'not a record', text)
         else:
             edit = parsed.unwrap()
             if edit is not None:
@@ -79,7 +79,9 @@
             table, _findings = reducer.apply_record(table, offset, data)
 
 
-def _past(table: Table | None, offset: int, record: EditRecord) -> Past:
+def _past(
+    table: Table | None, offset: int, record: EditRecord
+) -> HistoryEntry:
     # The verdict on a record from before the oldest snapshot hangs on
     # records that are no longer kept.
     verdict = 'no longer known'
@@ -91,4 +93,4 @@
         verdict = text if is_accepted else f'refused: {text}'
         rows = dict(table.rows)
     edits = table_text.describe_edits(record.edits, rows)
-    return Past(offset, record.at, record.by, verdict, edits)
+    return HistoryEntry(offset, record.at, record.by, verdict, edits)
--- a/packages/burdockchute/burdockchute/operators/table_writer.py
+++ b/packages/burdockchute/burdockchute/operators/table_writer.py
@@ -31,7 +31,7 @@
 # A record whose append got no reply is looked for this long before it is
 # appended again. Should the first copy still come after that, the reducer
 # ignores the second by its id.
-LOOK_S = 2.0
+SEARCH_S = 2.0
 
 
 class Saved(NamedTuple):
@@ -41,7 +41,7 @@
     table: Table
 
 
-class LostRace(NamedTuple):
+class EditRefused(NamedTuple):
     """The record is in the log but every process refuses it."""
 
     offset: int
@@ -62,7 +62,7 @@
     error: str
 
 
-NotSaved = LostRace | NotAppended | NotReadBack
+NotSaved = EditRefused | NotAppended | NotReadBack
 
 
 def save(
@@ -92,7 +92,7 @@
                 break
         maybe_appended = True
         is_sure = isinstance(appended, Success)
-        look_until = until if is_sure else min(until, clock() + LOOK_S)
+        look_until = until if is_sure else min(until, clock() + SEARCH_S)
         found = _follow(log, table, record, look_until, clock, sleep)
         if found is not None:
             return found
@@ -141,4 +141,4 @@
     after, _findings = reducer.apply_record(table, offset, serialize(record))
     if isinstance(verdict, reducer.Accepted):
         return Success(Saved(offset, after))
-    return Failure(LostRace(offset, verdict, after))
+    return Failure(EditRefused(offset, verdict, after))
--- a/packages/burdockchute/burdockchute/platform/http_json.py
+++ b/packages/burdockchute/burdockchute/platform/http_json.py
@@ -63,13 +63,14 @@
     url: str,
     concurrency: int,
     connect_s: float = CONNECT_TIMEOUT_S,
-    repeats: bool = True,
+    with_retries: bool = True,
 ) -> geventhttpclient.HTTPClient:
-    """Give a client that keeps its connections.
+    """Return a client that reuses its connections.
 
-    With `repeats` a GET whose connection breaks is sent again at once, a few
-    times. That serves where one connection in some is reset, as at an origin
-    with few of them. Where all are, it only multiplies the calls.
+    `with_retries` makes it resend a GET whose connection breaks, at once and
+    a few times. That helps where one connection of several is reset, as at
+    an origin with few connections. Where all of them are reset, it only
+    multiplies the calls.
     """
     client = geventhttpclient.HTTPClient.from_url(
         url,
@@ -77,14 +78,14 @@
         connection_timeout=connect_s,
         network_timeout=None,
     )
-    if not repeats:
+    if not with_retries:
         # The library repeats as often as its pool has connections and once
         # more. It has no setting for that.
         client._connection_pool.size = NO_REPEATS
     return client
 
 
-def ask(
+def request_json(
     client: geventhttpclient.HTTPClient,
     method: str,
     path: str,
@@ -103,21 +104,21 @@
     path: str,
     body: bytes,
     timeout_s: float,
-    part_s: float | None = None,
+    part_timeout_s: float | None = None,
 ) -> Result[RawReply, NotSent | NoReply]:
-    """Make one request; repeats none but as `make_client` says.
+    """Make one request; retries only as `make_client` describes.
 
-    With `part_s`, `timeout_s` is for the head of the answer and `part_s` for
-    each PART_BYTES of its body.
+    With `part_timeout_s`, `timeout_s` limits the time to the head of the
+    response and `part_timeout_s` the time for each PART_BYTES of its body.
     """
     response = None
     try:
         with gevent.Timeout(timeout_s):
             response = client.request(method, path, body)
-            if part_s is None:
+            if part_timeout_s is None:
                 data = bytes(response.read())
-        if part_s is not None:
-            data = _by_parts(response, part_s)
+        if part_timeout_s is not None:
+            data = _by_parts(response, part_timeout_s)
         return Success(
             RawReply(
                 response.status_code,
@@ -141,10 +142,10 @@
             response.release()
 
 
-def _by_parts(response: Any, part_s: float) -> bytes:
+def _by_parts(response: Any, part_timeout_s: float) -> bytes:
     parts: list[bytes] = []
     while True:
-        with gevent.Timeout(part_s):
+        with gevent.Timeout(part_timeout_s):
             part = bytes(response.read(PART_BYTES))
         if not part:
             return b''.join(parts)
--- a/packages/burdockchute/burdockchute/platform/instances.py
+++ b/packages/burdockchute/burdockchute/platform/instances.py
@@ -54,7 +54,7 @@
 def _fetch(
     client: geventhttpclient.HTTPClient, timeout_s: float
 ) -> Result[list[Member], ListUnavailable]:
-    asked = http_json.ask(client, 'GET', '/instances', '', timeout_s)
+    asked = http_json.request_json(client, 'GET', '/instances', '', timeout_s)
     if isinstance(asked, Failure):
         return Failure(ListUnavailable(asked.failure().reason))
     reply = asked.unwrap()
--- a/packages/burdockchute/burdockchute/platform/log.py
+++ b/packages/burdockchute/burdockchute/platform/log.py
@@ -110,7 +110,7 @@
         `Unsure` where the record may be in the log although no reply came;
         appending it again then needs a look for its id first.
         """
-        asked = http_json.ask(
+        asked = http_json.request_json(
             self._client, 'POST', _path(stream), data, self._timeout_s
         )
         if isinstance(asked, Failure):
@@ -130,7 +130,7 @@
         query = f'?from={from_offset}&max={max_records}'
         if wait_s > 0:
             query += f'&wait_ms={int(wait_s * 1000)}'
-        asked = http_json.ask(
+        asked = http_json.request_json(
             self._client,
             'GET',
             _path(stream) + query,
@@ -146,7 +146,7 @@
 
     def extent(self, stream: str) -> Result[Extent, LogError]:
         """Give the offsets that the stream covers."""
-        asked = http_json.ask(
+        asked = http_json.request_json(
             self._client,
             'GET',
             _path(stream) + '/earliest',
--- a/packages/burdockchute/burdockchute/platform/table_log.py
+++ b/packages/burdockchute/burdockchute/platform/table_log.py
@@ -32,7 +32,7 @@
 MAX_TRIES = 3
 
 
-class Loaded(NamedTuple):
+class LoadedTable(NamedTuple):
     """The table at the end of the stream.
 
     Read on from `next_offset`. `snapshot_as_of` is that of the newest
@@ -52,9 +52,9 @@
     earliest: int
 
 
-def load(log: Log) -> Result[Loaded, LogError | Lost]:
+def load(log: Log) -> Result[LoadedTable, LogError | Lost]:
     """Read the table as it is at the end of the stream now."""
-    loaded: Result[Loaded, LogError | Lost] = Failure(Trimmed(0))
+    loaded: Result[LoadedTable, LogError | Lost] = Failure(Trimmed(0))
     for _number in range(MAX_TRIES):
         loaded = _load_once(log)
         if isinstance(loaded, Success):
@@ -90,12 +90,12 @@
     return Success(found)
 
 
-def is_up_to_date(count: int) -> bool:
+def reached_end(count: int) -> bool:
     """Tell whether a batch of that many records reached the end."""
     return count < MAX_RECORDS
 
 
-def _load_once(log: Log) -> Result[Loaded, LogError | Lost]:
+def _load_once(log: Log) -> Result[LoadedTable, LogError | Lost]:
     asked = log.extent(STREAM)
     if isinstance(asked, Failure):
         return asked
@@ -146,7 +146,7 @@
 
 def _load_from(
     log: Log, extent: Extent, held: list[LogRecord], table: Table
-) -> Result[Loaded, LogError | Lost]:
+) -> Result[LoadedTable, LogError | Lost]:
     first_held = held[0].offset
     if table.offset + 1 < first_held:
         read = read_range(log, table.offset + 1, first_held)
@@ -158,11 +158,11 @@
 
 def _loaded(
     table: Table, held: list[LogRecord], extent: Extent, as_of: int
-) -> Loaded:
+) -> LoadedTable:
     after = [record for record in held if record.offset > table.offset]
     reduced = reducer.apply_all(table, after)
     next_offset = max(extent.next_offset, reduced.table.offset + 1)
-    return Loaded(
+    return LoadedTable(
         reduced.table,
         next_offset,
         as_of,
--- a/packages/burdockchute/burdockchute/upstreams/calls.py
+++ b/packages/burdockchute/burdockchute/upstreams/calls.py
@@ -26,7 +26,7 @@
     """The upstream took no connection, so nothing was sent."""
 
 
-class Broken(Exception):
+class AnswerFailed(Exception):
     """The call was sent, and its answer did not come whole.
 
     `crashed` is true if the upstream ended the connection, false if it fell
@@ -55,7 +55,7 @@
     headers: dict[str, str],
     stall_s: float,
 ) -> Reply:
-    """Send one call; raises NotConnected or Broken.
+    """Send one call; raises NotConnected or AnswerFailed.
 
     `stall_s` is the longest wait for any next bytes. The reply must be
     closed by its reader, also to cancel it.
@@ -92,19 +92,19 @@
     )
 
 
-def whole_body(reply: Reply, limit: int) -> bytes:
-    """Read the rest of a plain reply; raises Broken."""
+def read_body(reply: Reply, limit: int) -> bytes:
+    """Read the rest of a plain reply; raises AnswerFailed."""
     try:
         data = reply.response.read(limit + 1)
         if len(data) > limit:
-            raise Broken(f'an answer over {limit} bytes')
+            raise AnswerFailed(f'an answer over {limit} bytes')
         return bytes(data)
     except _FAILURES as exc:
         raise _broken(exc) from exc
 
 
 def events(reply: Reply) -> Iterator[str]:
-    """Give the data of each server-sent event; raises Broken."""
+    """Give the data of each server-sent event; raises AnswerFailed."""
     try:
         for event in sseclient.SSEClient(_chunks(reply)).events():
             yield event.data
@@ -115,9 +115,9 @@
 _FAILURES = (OSError, TimeoutError, responses.HTTPParseError)
 
 
-def _broken(exc: BaseException) -> Broken:
+def _broken(exc: BaseException) -> AnswerFailed:
     reason = str(exc) or type(exc).__name__
-    return Broken(reason, crashed=not isinstance(exc, TimeoutError))
+    return AnswerFailed(reason, crashed=not isinstance(exc, TimeoutError))
 
 
 class _OneSendClient(geventhttpclient.HTTPClient):
--- a/packages/burdockchute/burdockchute/upstreams/connections.py
+++ b/packages/burdockchute/burdockchute/upstreams/connections.py
@@ -22,11 +22,11 @@
 # Upstreams stand a few milliseconds away and take a connection at once. One
 # that has not after this long is dark or full, and the request had better go
 # elsewhere; it was certainly not sent.
-CONNECT_S = 0.4
+CONNECT_TIMEOUT_S = 0.4
 
 # A wait for bytes is broken off this often, so that whoever waits can look
 # whether the upstream has fallen silent or the time is up.
-LOOK_S = 0.25
+POLL_INTERVAL_S = 0.25
 
 READ_BYTES = 64 * 1024
 
@@ -37,19 +37,19 @@
     """No connection could be made, so nothing was sent."""
 
 
-class Broken(Exception):
-    """The request was sent, and its answer did not come whole.
+class AnswerFailed(Exception):
+    """The request was sent, and no complete answer was received.
 
-    `ended` is true where the upstream ended the connection, false where it
-    sent something that is no answer.
+    `closed_by_upstream` is true if the upstream closed the connection, false
+    if it sent something that is no valid answer.
     """
 
-    def __init__(self, reason: str, ended: bool) -> None:
+    def __init__(self, reason: str, closed_by_upstream: bool) -> None:
         super().__init__(reason)
-        self.ended = ended
+        self.closed_by_upstream = closed_by_upstream
 
 
-class Waiting(Exception):
+class NoDataYet(Exception):
     """Nothing came for a while; the call may be made again to wait on."""
 
 
@@ -118,7 +118,7 @@
         method: str,
         is_ours: Callable[[int, HeaderList], bool],
     ) -> None:
-        """Send a request; raises Broken.
+        """Send a request; raises AnswerFailed.
 
         `is_ours` tells by status and headers whether an answer is to it.
         """
@@ -127,25 +127,25 @@
         try:
             self._sock.sendall(data)
         except TimeoutError as exc:
-            raise Broken('could not be sent in time', False) from exc
+            raise AnswerFailed('could not be sent in time', False) from exc
         except OSError as exc:
-            raise Broken(f'could not be sent: {exc}', True) from exc
+            raise AnswerFailed(f'could not be sent: {exc}', True) from exc
 
-    def head(self) -> tuple[int, list[tuple[str, str]]]:
+    def read_head(self) -> tuple[int, list[tuple[str, str]]]:
         """Wait for status and headers of the answer.
 
-        Raises Broken, or Waiting if nothing came for a while.
+        Raises AnswerFailed, or NoDataYet if nothing came for a while.
         """
         parser = self._answer()
         while not parser.has_head:
             if not self._receive(parser):
-                raise Broken('ended before the answer began', True)
+                raise AnswerFailed('ended before the answer began', True)
         return parser.get_code(), list(parser.items())
 
-    def body(self) -> bytes:
+    def read_body_part(self) -> bytes:
         """Wait for more of the body; gives nothing at its end.
 
-        Raises Broken, or Waiting if nothing came for a while.
+        Raises AnswerFailed, or NoDataYet if nothing came for a while.
         """
         parser = self._answer()
         while True:
@@ -153,10 +153,10 @@
             if data or parser.is_whole:
                 return data
             if not self._receive(parser) and not parser.is_whole:
-                raise Broken('ended within the answer', True)
+                raise AnswerFailed('ended within the answer', True)
 
     @property
-    def may_serve_on(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether the answer is whole and another request may follow."""
         parser = self._parser
         return (
@@ -174,8 +174,8 @@
         """
         return not is_readable(self._sock)
 
-    def look_each(self, seconds: float) -> None:
-        """Break off waits for bytes this often, in place of LOOK_S."""
+    def set_poll_interval(self, seconds: float) -> None:
+        """Break off waits for bytes this often, not POLL_INTERVAL_S."""
         self._sock.settimeout(seconds)
 
     def close(self) -> None:
@@ -190,9 +190,9 @@
         try:
             data = self._sock.recv(READ_BYTES)
         except TimeoutError:
-            raise Waiting from None
+            raise NoDataYet from None
         except OSError as exc:
-            raise Broken(f'reset: {exc}', True) from exc
+            raise AnswerFailed(f'reset: {exc}', True) from exc
         try:
             # Without data the parser learns that the connection has ended,
             # which is the end of an answer that states no length.
@@ -200,19 +200,21 @@
         except responses.HTTPParseError as exc:
             if not parser.is_whole:
                 reason = f'no answer in the protocol: {exc}'
-                raise Broken(reason, not data) from exc
+                raise AnswerFailed(reason, not data) from exc
             parser.dirty = True
         return bool(data)
 
 
-def connect(endpoint: Endpoint, timeout_s: float = CONNECT_S) -> Connection:
+def connect(
+    endpoint: Endpoint, timeout_s: float = CONNECT_TIMEOUT_S
+) -> Connection:
     """Open a connection; raises NotConnected."""
     sock = socket.socket(sockets.AF_INET, sockets.SOCK_STREAM)
     try:
         sock.settimeout(timeout_s)
         sock.connect((endpoint.ip, endpoint.port))
         sock.setsockopt(sockets.IPPROTO_TCP, sockets.TCP_NODELAY, 1)
-        sock.settimeout(LOOK_S)
+        sock.settimeout(POLL_INTERVAL_S)
     except OSError as exc:
         sock.close()
         raise NotConnected(f'{endpoint}: {exc}') from exc
--- a/packages/burdockchute/burdockchute/upstreams/events.py
+++ b/packages/burdockchute/burdockchute/upstreams/events.py
@@ -3,10 +3,10 @@
 Only whole events are passed on: of one that breaks off within, the caller
 would have bytes that no resumed stream can continue.
 
->>> cutter = EventCutter()
->>> cutter.feed(b'id: 1\ndata: a\n\nid: 2\nda')
+>>> splitter = EventSplitter()
+>>> splitter.feed(b'id: 1\ndata: a\n\nid: 2\nda')
 [Event(id='1', data=b'id: 1\ndata: a\n\n')]
->>> cutter.rest
+>>> splitter.partial_event
 b'id: 2\nda'
 """
 
@@ -26,21 +26,21 @@
     data: bytes
 
 
-class EventCutter:
+class EventSplitter:
     """Bytes of a stream as they come, given out event by event."""
 
     def __init__(self) -> None:
-        self.rest = b''
+        self.partial_event = b''
 
     def feed(self, data: bytes) -> list[Event]:
         """Take more bytes and give the events that are whole now."""
-        self.rest += data
+        self.partial_event += data
         found = []
         start = 0
-        for end in _END.finditer(self.rest):
-            found.append(_event(self.rest[start : end.end()]))
+        for end in _END.finditer(self.partial_event):
+            found.append(_event(self.partial_event[start : end.end()]))
             start = end.end()
-        self.rest = self.rest[start:]
+        self.partial_event = self.partial_event[start:]
         return found
 
 
--- a/packages/burdockchute/burdockchute/upstreams/gate.py
+++ b/packages/burdockchute/burdockchute/upstreams/gate.py
@@ -106,27 +106,29 @@
             self._bases[weights.name] = base
         self._open.add(weights)
 
-    def shut(self, weights: Weights) -> None:
+    def close(self, weights: Weights) -> None:
         """Let no more requests in; those inside stay."""
         self._open.discard(weights)
 
-    def doubt(self, target: str, digest: str, adapter_digest: str) -> None:
+    def mark_mismatched(
+        self, target: str, digest: str, adapter_digest: str
+    ) -> None:
         """Shut the gates of a request whose answer named other weights.
 
         They stay shut until the upstream's reported state has been read
         again and has stayed the same for longer than an order can take.
         """
         for weights in self._wanted(target, digest, adapter_digest) or []:
-            self.shut(weights)
+            self.close(weights)
             self._doubted.add(weights)
 
-    def take_doubts(self) -> frozenset[Weights]:
+    def take_mismatched(self) -> frozenset[Weights]:
         """Give the weights doubted since the last call."""
         doubted = frozenset(self._doubted)
         self._doubted.clear()
         return doubted
 
-    def shut_all(self) -> None:
+    def close_all(self) -> None:
         """Let nobody in until gates are opened again."""
         self._open.clear()
 
--- a/packages/burdockchute/burdockchute/upstreams/orders.py
+++ b/packages/burdockchute/burdockchute/upstreams/orders.py
@@ -22,7 +22,7 @@
 READ_TIMEOUT_S = 3.0
 
 
-class Loaded(NamedTuple):
+class LoadedWeights(NamedTuple):
     """Weights that an engine reports; `base` is set for adapters."""
 
     kind: str
@@ -36,8 +36,8 @@
 
     fence: int
     checks_fencing: bool
-    loaded: frozenset[Loaded]
-    loading: frozenset[Loaded]
+    loaded: frozenset[LoadedWeights]
+    loading: frozenset[LoadedWeights]
 
 
 class Order(NamedTuple):
@@ -71,7 +71,7 @@
     status: int = 0
 
 
-class Engine:
+class EngineClient:
     """Connections to one engine."""
 
     def __init__(self, url: str) -> None:
@@ -95,7 +95,7 @@
         except (ValueError, KeyError, TypeError) as exc:
             return Failure(EngineError(f'no engine state: {exc!r}'))
 
-    def give(self, order: Order) -> Result[str, OrderRefused | EngineError]:
+    def send(self, order: Order) -> Result[str, OrderRefused | EngineError]:
         """Give an order; the order's id if the engine took it."""
         body = json.dumps(order._asdict()).encode()
         reply = self._call('POST', '/orders', body, 202)
@@ -147,8 +147,8 @@
     )
 
 
-def _loaded_of(item: Any) -> Loaded:
-    return Loaded(
+def _loaded_of(item: Any) -> LoadedWeights:
+    return LoadedWeights(
         str(item['kind']),
         str(item['name']),
         str(item['digest']),
--- a/packages/burdockchute/burdockchute/weights/copies.py
+++ b/packages/burdockchute/burdockchute/weights/copies.py
@@ -42,7 +42,7 @@
             return None
         return self._chunks[index]
 
-    def holds(self, index: int) -> bool:
+    def has_chunk(self, index: int) -> bool:
         """Tell whether a chunk is held."""
         return self.chunk(index) is not None
 
--- a/packages/burdockchute/burdockchute/weights/manifest.py
+++ b/packages/burdockchute/burdockchute/weights/manifest.py
@@ -76,7 +76,7 @@
     return text.encode()
 
 
-def document_of(manifest: Manifest) -> bytes:
+def serialize_manifest(manifest: Manifest) -> bytes:
     """Give the manifest as the weight store does, with its digest."""
     document = json.loads(canonical(manifest))
     document['digest'] = manifest.digest
@@ -99,7 +99,9 @@
     return Failure(found) if found else Success(manifest)
 
 
-def parse_named(data: bytes, digest: str) -> Result[Manifest, list[Finding]]:
+def parse_unverified(
+    data: bytes, digest: str
+) -> Result[Manifest, list[Finding]]:
     """Read a manifest from a peer that no root digest vouches for.
 
     A peer has it from the origin, as this process would. What its digests
--- a/packages/burdockchute/tests/callers/test_http.py
+++ b/packages/burdockchute/tests/callers/test_http.py
@@ -230,7 +230,7 @@
 
     def test_key_that_is_added_works_at_once(self):
         added = requests.LINDWURM._replace(
-            name='new', key_digests=http.auth.digest_of('key-n')
+            name='new', key_digests=http.auth.key_digest('key-n')
         )
         self.replies = [Done(NotRun('x'))]
         self.post({})
--- a/packages/burdockchute/tests/callers/test_parse.py
+++ b/packages/burdockchute/tests/callers/test_parse.py
@@ -11,7 +11,9 @@
 
 
 def arrival(**changes):
-    base = parse.Arrival('r1', 'POST', '/v1/completions', {}, b'{}', now=100.0)
+    base = parse.ReceivedRequest(
+        'r1', 'POST', '/v1/completions', {}, b'{}', now=100.0
+    )
     return base._replace(**changes)
 
 
@@ -49,8 +51,10 @@
         words = [f'w{n}' for n in range(130)]
         first = blake3.blake3(' '.join(words[:64]).encode()).hexdigest()
         second = blake3.blake3(' '.join(words[:128]).encode()).hexdigest()
-        self.assertEqual((first, second), parse.prefixes_of(' '.join(words)))
-        self.assertEqual((), parse.prefixes_of('short'))
+        self.assertEqual(
+            (first, second), parse.prefix_digests(' '.join(words))
+        )
+        self.assertEqual((), parse.prefix_digests('short'))
 
     def test_fingerprints_differ_by_customer_target_and_body(self):
         table = requests.table_of()
--- a/packages/burdockchute/tests/operators/test_publishing.py
+++ b/packages/burdockchute/tests/operators/test_publishing.py
@@ -34,7 +34,7 @@
         status, out, _err = run(keys, 'key', 'new')
         found = dict(line.split('=', 1) for line in out.splitlines())
         self.assertEqual(0, status)
-        self.assertEqual(auth.digest_of(found['key']), found['digest'])
+        self.assertEqual(auth.key_digest(found['key']), found['digest'])
 
     def test_digest_of_no_key_is_refused(self):
         self.assertEqual(
--- a/packages/burdockchute/tests/test_http_json.py
+++ b/packages/burdockchute/tests/test_http_json.py
@@ -28,7 +28,7 @@
         breaking.start()
         self.addCleanup(breaking.stop, 0.1)
         client = http_json.make_client(
-            f'http://127.0.0.1:{breaking.server_port}', 2, repeats=False
+            f'http://127.0.0.1:{breaking.server_port}', 2, with_retries=False
         )
         result = http_json.fetch(client, 'GET', '/x', b'', 2.0)
         self.assertIsInstance(result, Failure)
--- a/packages/burdockchute/tests/test_table_commands.py
+++ b/packages/burdockchute/tests/test_table_commands.py
@@ -166,7 +166,7 @@
 
     def test_append_is_lost_without_effect(self):
         self.log.lose_appends = 1
-        with mock.patch.object(table_writer, 'LOOK_S', 0.1):
+        with mock.patch.object(table_writer, 'SEARCH_S', 0.1):
             self.add_story()
         self.assertEqual(1, len(self.log.all_of('table')))
 
@@ -186,7 +186,7 @@
             return append(stream, data)
 
         self.log.append = slow
-        with mock.patch.object(table_writer, 'LOOK_S', 0.1):
+        with mock.patch.object(table_writer, 'SEARCH_S', 0.1):
             self.add_story()
         self.assertEqual(2, len(self.log.all_of('table')))
         self.assertEqual(1, len(self.table().rows))
--- a/packages/burdockchute/tests/upstreams/test_calls.py
+++ b/packages/burdockchute/tests/upstreams/test_calls.py
@@ -37,7 +37,7 @@
         for method in ('PUT', 'DELETE', 'GET', 'POST'):
             with self.subTest(method):
                 url = self.serve(b'')
-                with self.assertRaises(calls.Broken) as caught:
+                with self.assertRaises(calls.AnswerFailed) as caught:
                     self.send(url, method)
                 self.assertTrue(caught.exception.crashed)
                 self.assertEqual(1, len(self.heads))
@@ -57,8 +57,8 @@
         reply = self.send(
             self.serve(b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf')
         )
-        with self.assertRaises(calls.Broken):
-            calls.whole_body(reply, 100)
+        with self.assertRaises(calls.AnswerFailed):
+            calls.read_body(reply, 100)
 
     def test_silence_is_broken_but_no_crash(self):
         # The upstream stops sending and keeps the connection open.
@@ -67,7 +67,7 @@
         self.addCleanup(listening.close)
         self.addCleanup(lambda: [sock.close() for sock in held])
         url = f'http://127.0.0.1:{listening.getsockname()[1]}'
-        with self.assertRaises(calls.Broken) as caught:
+        with self.assertRaises(calls.AnswerFailed) as caught:
             self.send(url)
         self.assertFalse(caught.exception.crashed)
 
--- a/packages/burdockchute/tests/upstreams/test_connections.py
+++ b/packages/burdockchute/tests/upstreams/test_connections.py
@@ -11,9 +11,9 @@
 
 from burdockchute.model.upstreams import Endpoint
 from burdockchute.upstreams import connections
-from burdockchute.upstreams.connections import Broken
+from burdockchute.upstreams.connections import AnswerFailed
+from burdockchute.upstreams.connections import NoDataYet
 from burdockchute.upstreams.connections import NotConnected
-from burdockchute.upstreams.connections import Waiting
 
 ASK = b'GET / HTTP/1.1\r\nHost: a\r\n\r\n'
 REST = b'HTTP/1.1 200 OK\r\nX-Id: %b\r\nContent-Length: 2\r\n\r\nok'
@@ -48,24 +48,29 @@
 
     def ask(self, conn, name='1'):
         conn.send(ASK, 'GET', is_ours(name))
-        status, _headers = conn.head()
+        status, _headers = conn.read_head()
         body = b''
-        while data := conn.body():
+        while data := conn.read_body_part():
             body += data
         return status, body
 
     def test_two_requests_on_one_connection(self):
         conn = self.connect([REST % b'1'], [REST % b'2'])
         self.assertEqual((200, b'ok'), self.ask(conn, '1'))
-        self.assertTrue(conn.may_serve_on)
+        self.assertTrue(conn.is_reusable)
         self.assertEqual((200, b'ok'), self.ask(conn, '2'))
 
     def test_parts_come_as_they_are_sent(self):
         conn = self.connect([CHUNKED, b'1\r\na\r\n', b'1\r\nb\r\n0\r\n\r\n'])
         conn.send(ASK, 'GET', is_ours('1'))
-        conn.head()
+        conn.read_head()
         self.assertEqual(
-            [b'a', b'b', b''], [conn.body(), conn.body(), conn.body()]
+            [b'a', b'b', b''],
+            [
+                conn.read_body_part(),
+                conn.read_body_part(),
+                conn.read_body_part(),
+            ],
         )
 
     def test_an_answer_that_breaks_off_is_broken(self):
@@ -76,20 +81,20 @@
         ):
             with self.subTest(sent=sent):
                 conn = self.connect(sent)
-                with self.assertRaises(Broken) as caught:
+                with self.assertRaises(AnswerFailed) as caught:
                     self.ask(conn)
-                self.assertTrue(caught.exception.ended)
+                self.assertTrue(caught.exception.closed_by_upstream)
 
     def test_bytes_that_are_no_answer_are_broken(self):
         conn = self.connect([b'hello there\r\n\r\n'])
-        with self.assertRaises(Broken) as caught:
+        with self.assertRaises(AnswerFailed) as caught:
             self.ask(conn)
-        self.assertFalse(caught.exception.ended)
+        self.assertFalse(caught.exception.closed_by_upstream)
 
     def test_an_answer_without_length_ends_with_its_connection(self):
         conn = self.connect([b'HTTP/1.1 200 OK\r\n\r\nab', b'cd'])
         self.assertEqual((200, b'abcd'), self.ask(conn))
-        self.assertFalse(conn.may_serve_on)
+        self.assertFalse(conn.is_reusable)
 
     def test_an_answer_without_length_that_is_reset_is_broken(self):
         """A server crashes in an answer whose end its connection marks.
@@ -110,7 +115,7 @@
         serving.start()
         self.addCleanup(serving.stop)
         conn = connections.connect(Endpoint('127.0.0.1', serving.server_port))
-        with self.assertRaises(Broken):
+        with self.assertRaises(AnswerFailed):
             self.ask(conn)
 
     def test_what_follows_an_answer_spoils_the_connection(self):
@@ -118,7 +123,7 @@
             with self.subTest(extra=extra):
                 conn = self.connect([REST % b'1' + extra])
                 self.assertEqual((200, b'ok'), self.ask(conn))
-                self.assertFalse(conn.may_serve_on)
+                self.assertFalse(conn.is_reusable)
 
     def test_answer_to_another_request_is_skipped(self):
         for parts in (
@@ -128,11 +133,11 @@
             with self.subTest(parts=parts):
                 conn = self.connect(parts)
                 self.assertEqual((200, b'ok'), self.ask(conn, '1'))
-                self.assertTrue(conn.may_serve_on)
+                self.assertTrue(conn.is_reusable)
 
     def test_only_an_answer_to_another_request_is_broken(self):
         conn = self.connect([REST % b'0'])
-        with self.assertRaises(Broken):
+        with self.assertRaises(AnswerFailed):
             self.ask(conn, '1')
 
     def test_interim_answers_are_skipped(self):
@@ -146,9 +151,9 @@
         waits = 0
         while True:
             try:
-                self.assertEqual(200, conn.head()[0])
+                self.assertEqual(200, conn.read_head()[0])
                 break
-            except Waiting:
+            except NoDataYet:
                 waits += 1
         self.assertLess(waits, 1000)
 
--- a/packages/burdockchute/tests/upstreams/test_events.py
+++ b/packages/burdockchute/tests/upstreams/test_events.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from burdockchute.upstreams.events import Event
-from burdockchute.upstreams.events import EventCutter
+from burdockchute.upstreams.events import EventSplitter
 
 STREAM = b'id: 1\ndata: a\n\ndata: b\r\nid: 2\r\n\r\nid: 3\ndata: c\n\nid'
 
@@ -21,11 +21,11 @@
         An event that is passed on before it is whole can't be taken back
         when its engine crashes.
         """
-        cutter = EventCutter()
+        splitter = EventSplitter()
         found = []
         start = 0
         for end in [*sorted(places), len(STREAM)]:
-            found += cutter.feed(STREAM[start:end])
+            found += splitter.feed(STREAM[start:end])
             start = end
         self.assertEqual(
             [
@@ -35,4 +35,4 @@
             ],
             found,
         )
-        self.assertEqual(b'id', cutter.rest)
+        self.assertEqual(b'id', splitter.partial_event)
--- a/packages/burdockchute/tests/upstreams/test_gate.py
+++ b/packages/burdockchute/tests/upstreams/test_gate.py
@@ -31,7 +31,7 @@
         # old weights went now, the page would end in other weights or in
         # none.
         self.gate.enter('story', 'old', '')
-        self.gate.shut(OLD)
+        self.gate.close(OLD)
         self.assertIsNotNone(self.gate.enter('story', 'old', ''))
         self.assertEqual([GateState(OLD, False, 1)], self.gate.states())
         self.gate.leave('story', 'old', '')
@@ -42,7 +42,7 @@
         # answer names both digests and neither may change under it.
         self.gate.open(RHYMES, 'story')
         self.assertIsNone(self.gate.enter('rhymes', 'old', 'ad'))
-        self.gate.shut(OLD)
+        self.gate.close(OLD)
         self.assertEqual(
             (1, 1), (self.gate.in_flight(OLD), self.gate.in_flight(RHYMES))
         )
@@ -88,11 +88,11 @@
 
     def test_doubt_shuts_both_gates_once(self):
         self.gate.open(RHYMES, 'story')
-        self.gate.doubt('rhymes', 'old', 'ad')
+        self.gate.mark_mismatched('rhymes', 'old', 'ad')
         self.assertFalse(self.gate.is_open(OLD))
         self.assertFalse(self.gate.is_open(RHYMES))
-        self.assertEqual({OLD, RHYMES}, self.gate.take_doubts())
-        self.assertEqual(frozenset(), self.gate.take_doubts())
+        self.assertEqual({OLD, RHYMES}, self.gate.take_mismatched())
+        self.assertEqual(frozenset(), self.gate.take_mismatched())
 
     def test_services_have_no_version(self):
         self.assertIsNotNone(self.gate.enter('proofs', '', ''))
--- a/packages/burdockchute/tests/weights/test_manifest.py
+++ b/packages/burdockchute/tests/weights/test_manifest.py
@@ -18,7 +18,7 @@
 
 class ManifestTest(unittest.TestCase):
     def test_document_is_read_back(self):
-        document = manifests.document_of(MANIFEST)
+        document = manifests.serialize_manifest(MANIFEST)
         self.assertEqual(
             Success(MANIFEST), manifests.parse(document, MANIFEST.digest)
         )
@@ -26,7 +26,7 @@
     def test_changed_manifest_is_refused(self):
         # The store gives a manifest that names other chunks. The agent
         # would take these for the weights that the row names.
-        document = json.loads(manifests.document_of(MANIFEST))
+        document = json.loads(manifests.serialize_manifest(MANIFEST))
         document['chunks'][0] = manifests.digest_of(b'other')
         found = manifests.parse(
             json.dumps(document).encode(), MANIFEST.digest
@@ -37,7 +37,7 @@
         self.assertIn('content has the digest', found[0].text)
 
     def test_findings_come_together(self):
-        document = json.loads(manifests.document_of(MANIFEST))
+        document = json.loads(manifests.serialize_manifest(MANIFEST))
         document['size'] = 99
         found = manifests.parse(
             json.dumps(document).encode(), MANIFEST.digest
