--- a/packages/burdockchute-entry/burdockchute_entry/attempts.py
+++ b/packages/burdockchute-entry/burdockchute_entry/attempts.py
@@ -1,4 +1,4 @@
-"""Requests in the hands of the router, and their attempts."""
+"""Requests that the router handles, and their attempts on instances."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 from burdockchute_entry.fleet import Instance
 from burdockchute_entry.fleet import PinnedWeights
 
-# Parts that came before their turn, as after a resumed stream. More than
-# this is no disorder but a fault of the sender.
+# Parts received ahead of sequence, as after a resumed stream, are buffered.
+# More than this is not reordering but a fault of the sender.
 MAX_EARLY_PARTS = 1024
 
 
 class Complete(NamedTuple):
-    """Every part of the answer has come, from the pinned weights."""
+    """All parts of the answer were received, from the pinned weights."""
 
 
 class Incomplete(NamedTuple):
-    """The request was handed on and its answer is not whole."""
+    """The request was sent to an instance and its answer is not complete."""
 
     reason: str
     crashed: bool
 
 
 class Attempt:
-    """One handing-on of a request to an instance."""
+    """One attempt to run a request on an instance."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         self._early: dict[int, bytes] = {}
 
     def accept(self, part: messages.AnswerPart) -> list[bytes]:
-        """Give the parts that are next in order; keeps early ones."""
+        """Return the parts that are next in sequence; buffer early ones."""
         if part.sequence < self.next_sequence:
             return []
         if len(self._early) < MAX_EARLY_PARTS:
@@ -63,14 +63,14 @@
         return ready
 
     def check_end(self, end: messages.AnswerEnd) -> Complete | Incomplete:
-        """Tell whether what came is the whole answer."""
+        """Check whether the received parts are the complete answer."""
         if end.error:
             return Incomplete(end.error, bool(end.crashed))
         if end.parts != self.next_sequence:
-            reason = f'{self.next_sequence!r} parts of {end.parts!r} came'
+            reason = f'{self.next_sequence!r} of {end.parts!r} parts received'
             return Incomplete(reason, False)
-        # The agent compares as well; a mix of two versions must not depend
-        # on one check.
+        # The agent compares the digests too; that no answer mixes two
+        # versions must not depend on a single check.
         if (end.digest, end.adapter_digest) != self.pinned:
             return Incomplete(f'answer is from weights {end.digest!r}', False)
         return Complete()
@@ -104,18 +104,18 @@
         self.first_part_at: float | None = None
 
     def avoid(self, instance: Instance) -> None:
-        """Stay away from an instance until it has reported again."""
+        """Exclude an instance until its next load report."""
         self._avoided[instance] = instance.report_count
 
     def avoids(self, instance: Instance) -> bool:
-        """Tell whether an instance refused this since its last report."""
+        """Whether an instance is excluded since its last load report."""
         return self._avoided.get(instance) == instance.report_count
 
     def may_run_again(self) -> bool:
-        """Tell whether another attempt can give one whole answer.
+        """Whether another attempt can yield one consistent answer.
 
-        A request that must run at most once never comes here twice; and of
-        a stream that was begun the caller holds parts, which another run
-        would not continue.
+        A request that is not idempotent must run at most once. Once the
+        caller has parts of a stream, another attempt would not continue
+        them.
         """
         return self.ctx.idempotent and not self.parts_sent
--- a/packages/burdockchute-entry/burdockchute_entry/completion.py
+++ b/packages/burdockchute-entry/burdockchute_entry/completion.py
@@ -1,4 +1,4 @@
-"""The end of a request: what its caller, the claims and the log are told."""
+"""Sends answers and final outcomes to callers, claims, metrics and the log."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def send_parts(request: Request, parts: list[bytes], now: float) -> None:
-    """Give parts of the answer to the caller."""
+    """Send parts of the answer to the caller."""
     if not request.parts_sent:
         request.replies.put(AnswerStarted(*request.pinned))
     if request.first_part_at is None:
@@ -33,7 +33,7 @@
 
 
 def replay(request: Request, outcome: Answered, now: float) -> Answered:
-    """Give a recorded answer to the caller of a resend."""
+    """Send a recorded answer to the caller of a resent request."""
     request.pinned = request.pinned._replace(
         digest=outcome.digest, adapter_digest=outcome.adapter_digest
     )
@@ -45,10 +45,10 @@
 
 
 def reportable_outcome(request: Request, outcome: Outcome) -> Outcome:
-    """Give the outcome that may be told.
+    """Return the outcome as it may be reported.
 
-    A request that was handed on and is given up while it waits for another
-    attempt may have run, whatever the reason of giving up.
+    A request that was sent to an instance and ends while it waits for another
+    attempt may have run, for whatever reason it ended.
     """
     if isinstance(outcome, NotRun) and request.attempts:
         return Unknown(outcome.reason, LOST_STATUS)
@@ -61,7 +61,7 @@
     now: float,
     observe: Callable[[RequestSummary], None],
 ) -> None:
-    """Give the final outcome to the caller, the metrics and the log."""
+    """Report the final outcome to the caller, the metrics and the log."""
     ctx = request.ctx
     request.replies.put(Done(outcome))
     first_at = request.first_part_at
@@ -91,7 +91,7 @@
 def settle_claim(
     request: Request, outcome: Outcome, claim: Callable[[Any], None]
 ) -> None:
-    """Release the key of a request or record how it ended."""
+    """Release the claimed key of a request, or record its outcome."""
     if isinstance(outcome, NotRun):
         claim(claims.ClaimReleased(request.ctx, request.claim_id))
         return
--- a/packages/burdockchute-entry/burdockchute_entry/router.py
+++ b/packages/burdockchute-entry/burdockchute_entry/router.py
@@ -1,8 +1,8 @@
 """The router: owns each request from its arrival to its final outcome.
 
-One greenlet owns all state and takes one message at a time, so that there
-is nothing to lock. What it decides is in `burdockchute.decisions`; what it
-does with a request that was handed on is in `attempts`.
+One greenlet owns all state and handles one message at a time, so that no
+locks are needed. The rules are in `burdockchute.decisions`; the state of a
+request and of its attempts is in `attempts`.
 """
 
 from __future__ import annotations
@@ -45,21 +45,22 @@
 from burdockchute_entry.limits_task import PERIOD_S
 from burdockchute_entry.limits_task import SharesChanged
 
-# The queues are looked at this often even if nothing comes in, since load
-# reports age and windows of waiting end.
+# The queues are checked this often even if no message arrives, since load
+# reports age and waiting times end.
 TICK_S = 0.25
 
 
-# An answer that takes so many times the usual counts against its instance.
+# An attempt cut off by its deadline counts as a failure of its instance if it
+# took more than this many times the usual time.
 SLOW_FACTOR = 2.0
 
 
 class Router:
-    """Takes messages in `inbox`; see docs/design/interfaces.md.
+    """Handles the messages in `inbox`; see docs/design/interfaces.md.
 
     `claim` gets the messages of `burdockchute.model.claims`, `crash` each
-    CrashReport, `observe` each RequestSummary and `demand` what customers ask
-    for. `now` gives monotonic seconds.
+    CrashReport, `observe` each RequestSummary and `demand` the customers'
+    demand once a period. `now` returns monotonic seconds.
     """
 
     def __init__(
@@ -106,7 +107,7 @@
         }
 
     def run(self) -> None:
-        """Take messages for ever."""
+        """Handle messages forever."""
         while True:
             try:
                 event = self.inbox.get(timeout=self._next_deadline_in_s())
@@ -116,13 +117,13 @@
             self.handle(event)
 
     def handle(self, event: Any) -> None:
-        """Take one message."""
+        """Handle one message."""
         self._handlers[type(event)](event)
         if self._now() - self._ticked_at >= TICK_S:
             self.tick()
 
     def tick(self) -> None:
-        """Do what time alone brings about."""
+        """Expire deadlines, fill free slots and report the demand."""
         now = self._now()
         self._ticked_at = now
         while self._deadlines and self._deadlines[0][0] <= now:
@@ -138,16 +139,16 @@
                 self._demand(DemandMeasured(demands))
 
     def open_requests(self) -> int:
-        """Give the number of requests without a final outcome."""
+        """Return the number of requests without a final outcome."""
         return len(self._requests)
 
     def in_use(self, name: str) -> bool:
-        """Tell whether a request of ours is at an instance."""
+        """Whether a request of this entry runs on an instance."""
         instance = self._dispatcher.fleet.instances.get(name)
         return instance is not None and instance.load.ours > 0
 
     def instances(self) -> list[str]:
-        """Give the names of the linked instances."""
+        """Return the names of the linked instances."""
         return sorted(self._dispatcher.fleet.instances)
 
     def _next_deadline_in_s(self) -> float:
@@ -155,7 +156,7 @@
             return TICK_S
         return min(TICK_S, max(0.0, self._deadlines[0][0] - self._now()))
 
-    # Requests that arrive.
+    # New requests.
 
     def _submit(self, event: Submit) -> None:
         ctx = event.ctx
@@ -192,7 +193,7 @@
     def _claim_decided(self, event: claims.ClaimDecided) -> None:
         request = self._requests.get(event.request_id)
         if request is None:
-            # Given up in the meantime; its release is on its way.
+            # The request has ended meanwhile; its claim is being released.
             return
         if isinstance(event.verdict, claims.Won):
             self._dispatcher.enqueue(request)
@@ -214,7 +215,7 @@
         request = self._requests.get(getattr(message, 'request_id', ''))
         if handler is None or request is None:
             return
-        # What comes late from an earlier attempt belongs to no answer.
+        # Late messages of an earlier attempt are ignored.
         if request.attempt and request.attempt.link is event.link:
             handler(self, request, message)
 
@@ -276,7 +277,7 @@
     }
 
     def _attempt_lost(self, request: Request, incomplete: Incomplete) -> None:
-        """Decide on a request that was handed on and came to nothing."""
+        """Retry or end a request whose attempt got no complete answer."""
         attempt = request.attempt
         assert attempt is not None
         self._count_failure(request, attempt)
@@ -304,7 +305,7 @@
         load.on_failed(request.work, service_s, mean_unit_s, now)
 
     def _count_if_slow(self, request: Request, attempt: Attempt) -> None:
-        # A request that was sent shortly before its deadline is late
+        # A request that was sent shortly before its deadline misses it
         # through no fault of the instance.
         mean_unit_s = self._dispatcher.pool(request).unit_s
         usual_s = mean_unit_s * request.work.cost
@@ -330,7 +331,7 @@
             convicted=convicted,
         )
 
-    # What ends a request from outside.
+    # Deadlines and disconnected callers.
 
     def _expire(self, request: Request) -> None:
         if request.attempt is None:
@@ -348,8 +349,8 @@
         if request.attempt is None:
             self._finish(request, NotRun('caller has gone', 503))
         elif request.claim_id:
-            # Stopping it half-way would leave its outcome unknown for good;
-            # its caller may come back with the same key.
+            # Cancelling it half-way would leave its outcome unknown for
+            # good; the caller may send it again with the same key.
             logs.event('caller_gone', request_id=event.request_id)
         else:
             request.attempt.instance.load.on_returned(request.work)
@@ -362,7 +363,7 @@
         try:
             attempt.link.send(messages.Cancel(request.ctx.request_id))
         except links.LinkError:
-            # The agent stops what came over a link that has closed.
+            # The agent cancels the requests of a link that has closed.
             pass
         request.attempt = None
         self._dispatcher.fill_slots_for(request)
--- a/packages/burdockchute-entry/tests/test_router.py
+++ b/packages/burdockchute-entry/tests/test_router.py
@@ -1,4 +1,4 @@
-"""What callers get from the router, and what agents are sent."""
+"""The router's replies to callers and its messages to agents."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         (dispatch,) = link.dispatched()
         return dispatch
 
-    def test_streamed_answer_is_passed_on_in_order(self):
+    def test_streamed_answer_is_forwarded_in_order(self):
         link = self.bench.agent('a')
         rid = self.bench.submit(requests.request())
         dispatch = self.only_dispatch(link)
@@ -52,9 +52,9 @@
         self.assertEqual(0, self.bench.router.open_requests())
 
     def test_answers_of_two_requests_do_not_cross(self):
-        # Two answers come interleaved over one link, one of them out of
-        # order and with a part sent twice. A parent must not see a line of
-        # a teacher's page.
+        # Two answers arrive interleaved over one link, one of them out of
+        # order and with a part sent twice. No caller may get parts of
+        # another caller's answer.
         link = self.bench.agent('a')
         one = self.bench.submit(requests.request())
         two = self.bench.submit(requests.request())
@@ -75,21 +75,21 @@
             self.assertEqual(expected, self.bench.parts(rid))
             self.assertIsInstance(self.bench.outcome(rid), Answered)
 
-    def test_short_answer_is_not_passed_off_as_whole(self):
-        # A part of the stream is missing at its end.
+    def test_short_answer_is_not_reported_as_complete(self):
+        # The last part of a stream is missing when its end is received.
         link = self.bench.agent('a')
         rid = self.bench.submit(requests.request())
         self.bench.answer(link, rid, parts=2, **{'status': 200})
-        whole = self.bench.submit(requests.request())
-        self.bench.receive(link, messages.AnswerPart(whole, 0, b'x'))
-        end = messages.AnswerEnd(whole, 2, 200, 'x', 'd1', '', '', False)
+        truncated = self.bench.submit(requests.request())
+        self.bench.receive(link, messages.AnswerPart(truncated, 0, b'x'))
+        end = messages.AnswerEnd(truncated, 2, 200, 'x', 'd1', '', '', False)
         self.bench.receive(link, end)
-        self.assertIsInstance(self.bench.outcome(whole), Unknown)
+        self.assertIsInstance(self.bench.outcome(truncated), Unknown)
 
     def test_answer_from_other_weights_is_refused(self):
-        # An agent that was paused switched the upstream's weights behind
-        # the gate. The caller of a plain request sees nothing of it, since
-        # the request runs again; no page comes from two models.
+        # An agent that was paused switched its upstream's weights while the
+        # request was running. A request without streaming is run again, which
+        # its caller does not notice; no answer mixes two models.
         first = self.bench.agent('a')
         second = self.bench.agent('b')
         rid = self.bench.submit(requests.request(stream=False))
@@ -102,7 +102,7 @@
         self.assertEqual(1, len(self.bench.parts(rid)))
 
     def test_certain_not_run_goes_to_another_instance(self):
-        # An instance starts to leave while a request is on its way to it.
+        # An instance starts to shut down while a request is in transit to it.
         links_ = [self.bench.agent(name) for name in 'ab']
         key = f'{int(self.bench.now)}-k'
         rid = self.bench.submit(requests.request())
@@ -115,7 +115,7 @@
         self.assertEqual(1, self.bench.finished[0].attempts, key)
 
     def test_lost_idempotent_request_runs_again(self):
-        # The link to an agent goes silent with a request handed on.
+        # The link to an agent goes silent while it runs a request.
         links_ = [self.bench.agent(name) for name in 'ab']
         rid = self.bench.submit(requests.request())
         link = next(a for a in links_ if a.dispatched())
@@ -125,8 +125,8 @@
         self.assertEqual(WHOLE, self.bench.outcome(rid))
 
     def test_late_parts_of_a_lost_attempt_are_ignored(self):
-        # The first agent was only paused and sends its answer after all,
-        # when the second has begun.
+        # The first agent was only paused, and sends its answer after the
+        # second one has started.
         links_ = [self.bench.agent(name) for name in 'ab']
         rid = self.bench.submit(requests.request())
         link = next(a for a in links_ if a.dispatched())
@@ -136,9 +136,9 @@
         self.bench.answer(other, rid)
         self.assertEqual([f'{rid}-0'.encode()], self.bench.parts(rid))
 
-    def test_begun_stream_that_is_lost_is_unknown(self):
-        # The upstream is lost after the first token; another run might
-        # continue the page with other words.
+    def test_started_stream_that_is_lost_is_unknown(self):
+        # The upstream is lost after the first token; another attempt might
+        # generate different text.
         link = self.bench.agent('a')
         other = self.bench.agent('b')
         rid = self.bench.submit(requests.request())
@@ -166,9 +166,9 @@
         self.assertIsInstance(self.bench.outcome(rid), NotRun)
         self.assertIsNone(self.bench.outcome(blockers[0]))
 
-    def test_request_given_up_after_an_attempt_is_not_called_not_run(self):
+    def test_timed_out_request_with_an_attempt_is_not_called_not_run(self):
         # An attempt was lost, and the deadline passes while the request
-        # waits for another. It may have run.
+        # waits for another one. The request may have run.
         link = self.bench.agent('a')
         rid = self.bench.submit(requests.request())
         self.bench.close(link)
@@ -176,11 +176,11 @@
         self.bench.advance(2.5)
         self.assertIsInstance(self.bench.outcome(rid), Unknown)
 
-    def test_request_that_may_have_run_makes_no_room_for_new_ones(self):
+    def test_request_that_may_have_run_is_not_evicted_for_new_ones(self):
         """An agent loses a request, which waits for another attempt.
 
-        More urgent requests filled the queue, and its caller was told that
-        nobody knows whether it ran, with most of its time left.
+        Requests of higher priority filled the queue, and its caller got an
+        unknown outcome with most of the time to its deadline left.
         """
         row = requests.STORY._replace(max_waiting=1)
         table = requests.table_of(row, requests.LINDWURM, requests.SAHYOG)
@@ -203,7 +203,7 @@
         self.assertIsInstance(outcome, NotRun)
         self.assertGreater(outcome.retry_after_s, 0)
 
-    def test_caller_that_has_gone_stops_the_work(self):
+    def test_disconnected_caller_cancels_the_request(self):
         link = self.bench.agent('a')
         rid = self.bench.submit(requests.request())
         self.bench.router.handle(CallerGone(rid))
@@ -223,8 +223,8 @@
         self.bench.submit(requests.request())
         self.assertEqual([], link.dispatched())
 
-    def test_new_link_is_used_before_the_old_one_is_given_up(self):
-        # The old connection is silent but not yet noticed as such.
+    def test_new_link_is_used_before_the_old_one_is_closed(self):
+        # The old link is silent, which has not been detected yet.
         old = self.bench.agent('a', slots=8)
         first = self.bench.submit(requests.request())
         new = self.bench.agent('a', slots=8)
@@ -247,7 +247,7 @@
         table = requests.table_of(row, requests.LINDWURM, offset=2)
         self.bench.router.handle(TableChanged(table))
 
-    def test_version_before_serves_until_the_named_one_is_open(self):
+    def test_previous_version_serves_until_the_named_one_is_open(self):
         self.name_version('d2')
         self.bench.submit(requests.request())
         self.assertEqual('d1', self.old.dispatched()[-1].digest)
@@ -255,9 +255,9 @@
         self.bench.submit(requests.request())
         self.assertEqual('d2', new.dispatched()[-1].digest)
 
-    def test_first_new_replica_does_not_get_all_load(self):
-        # Of two replicas one has switched. If everything went there at
-        # once, it would be overrun while the other has nothing to do.
+    def test_first_new_replica_does_not_get_all_requests(self):
+        # One of two replicas has switched. If all requests went there, it
+        # would be overloaded while the other one is idle.
         self.name_version('d2')
         new = self.bench.agent('b', opened={'model/story': ['d2']}, slots=1)
         for _ in range(3):
@@ -316,7 +316,7 @@
         self.assertEqual(f'{rid}-0'.encode(), finish.outcome.body)
 
     def test_plain_service_runs_as_many_as_its_row_says(self):
-        # A plain service reports no slots of its own.
+        # A plain service reports no slots.
         self.bench.report(self.link, slots=0)
         for _ in range(8):
             self.decide(self.submit(), claims.Won('a'))
@@ -327,8 +327,8 @@
         self.assertGreater(len(self.link.dispatched()), sent + 2)
 
     def test_lost_attempt_is_unknown_and_never_runs_again(self):
-        # The agent dies with a postal dispatch handed on. Running it again
-        # might send the letter twice.
+        # The agent dies while it runs a non-idempotent request. Another
+        # attempt might execute it twice.
         rid = self.submit()
         self.decide(rid, claims.Won(rid))
         other = self.bench.agent('b')
@@ -337,9 +337,9 @@
         self.assertEqual([], other.dispatched())
         self.assertIsInstance(self.claimed[-1], claims.ClaimFinished)
 
-    def test_given_up_before_dispatch_is_released(self):
-        # The log is slow and the deadline passes before the claim is read
-        # back. When it is won after all, nothing may be dispatched.
+    def test_claim_is_released_if_the_deadline_passes_before_dispatch(self):
+        # The log is slow, and the deadline passes before the claim is read
+        # back. If the claim is won later, nothing may be dispatched.
         rid = self.submit()
         self.bench.advance(11)
         self.assertIsInstance(self.bench.outcome(rid), NotRun)
@@ -356,7 +356,7 @@
         ids = {d.attempt_id for d in self.link.dispatched()}
         self.assertEqual(2, len(ids))
 
-    def test_resend_gets_what_is_known(self):
+    def test_resent_request_gets_the_known_outcome(self):
         answered = Answered(200, 'application/json', b'{}', '', '')
         for verdict, status, kind in (
             (claims.Recorded(answered), 200, Answered),
@@ -372,9 +372,9 @@
         self.assertEqual([], self.link.dispatched())
         self.assertEqual(5, len(self.claimed))
 
-    def test_gone_caller_does_not_break_off_a_print(self):
-        # A teacher's connection breaks while a proof is printed. Stopped
-        # half-way, nobody could tell her later whether it was.
+    def test_disconnected_caller_does_not_cancel_a_claimed_request(self):
+        # The caller's connection breaks during a non-idempotent request. If
+        # it were cancelled, its outcome would remain unknown.
         rid = self.submit()
         self.decide(rid, claims.Won(rid))
         self.bench.router.handle(CallerGone(rid))
