--- a/packages/burdockchute-entry/burdockchute_entry/admission_control.py
+++ b/packages/burdockchute-entry/burdockchute_entry/admission_control.py
@@ -1,4 +1,4 @@
-"""What is refused on arrival: limits of customers and deadlines."""
+"""Refuses requests on arrival, by customers' rate limits and by deadline."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class AdmissionControl:
-    """The buckets of the customers at this entry."""
+    """The token buckets and the demand of the customers at this entry."""
 
     def __init__(self) -> None:
         self.shares: Mapping[str, Share] = {}
@@ -34,7 +34,7 @@
         self._demands: dict[str, Demand] = {}
 
     def take_demands(self, seconds: float) -> dict[str, Demand]:
-        """Give what each customer asked for in the last so many seconds."""
+        """Return and reset the demand per customer over the last `seconds`."""
         demands, self._demands = self._demands, {}
         return {
             customer: Demand(
@@ -51,7 +51,7 @@
         table: Table,
         now: float,
     ) -> NotRun | None:
-        """Tell why a request is not let in; counts it if it is."""
+        """Return why a request is refused, or charge its rate limit."""
         self._record_demand(request.ctx)
         wait_s = pool.expected_wait_s(request, loads, now)
         service_s = pool.unit_s * request.work.cost
@@ -65,7 +65,7 @@
         return None
 
     def _record_demand(self, ctx: RequestContext) -> None:
-        # What is refused counts as well: a share follows what is asked for.
+        # Refused requests count as well: shares are divided by demand.
         demand = self._demands.get(ctx.customer, Demand(0.0, 0.0))
         self._demands[ctx.customer] = Demand(
             demand.requests_per_s + 1,
@@ -90,7 +90,7 @@
 
 
 def rate_of(customer: str, table: Table) -> RateLimit | None:
-    """Give the limit in a customer's row, for all entries together."""
+    """Return a customer's rate limit over all entries, None without one."""
     row = tables.find_row(table, CustomerRow, customer)
     if row is None:
         return None
@@ -98,14 +98,15 @@
 
 
 def outcome_of(verdict: claims.Verdict) -> Outcome:
-    """Give the outcome of a request whose claim was not won."""
+    """Return the outcome of a request whose claim was not won."""
     if isinstance(verdict, claims.Recorded):
         return verdict.outcome
     if isinstance(verdict, claims.OtherBody):
         return NotRun(verdict.reason, 422, 0.0)
     if isinstance(verdict, claims.OutsideWindow):
-        # What was claimed so long ago is forgotten. A caller told not-run
-        # would do by hand what may have been done already.
+        # Claims this old are no longer known. If the caller were told that
+        # the request was not run, it might repeat by hand what was already
+        # done.
         return Unknown(verdict.reason, 422)
     if isinstance(verdict, claims.Unavailable):
         return NotRun(verdict.reason, 503, verdict.retry_after_s)
--- a/packages/burdockchute-entry/burdockchute_entry/dispatcher.py
+++ b/packages/burdockchute-entry/burdockchute_entry/dispatcher.py
@@ -1,4 +1,4 @@
-"""Requests that wait, and the instances that they are handed on to."""
+"""Queues requests and dispatches them to instances, within a retry budget."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
 from burdockchute_entry.pools import Pool
 
 # How long requests wait for the first instance of a target. A restart of
-# the only instance takes longer; then a caller is better told so at once.
+# the only instance takes longer, so that callers are better refused early.
 NO_INSTANCE_WAIT_S = 2.0
 NO_INSTANCE_RETRY_S = 2.0
 
-# A request whose target is open nowhere does not hold up those behind it;
-# more than this many are not looked past in one go.
+# A request whose target is open nowhere does not block those queued behind
+# it; at most this many are skipped in one pass over a queue.
 MAX_SKIPPED = 32
 
 Refuse = Callable[[Request, NotRun], None]
 
 
 class Dispatcher:
-    """Owns the queues, the instances and the budget of retries.
+    """Owns the queues, the instances and the retry budget.
 
-    `requests` are those without final outcome, by id; `refuse` ends one.
+    `requests` are those without a final outcome, by id; `refuse` ends one.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         self._budget = retries.full_budget(now())
 
     def table_changed(self, table: Table) -> None:
-        """Take in rows that have changed."""
+        """Apply a new table."""
         self._table = table
         self.fleet.table_changed(table)
         for pool in self._pools.values():
@@ -72,7 +72,7 @@
     def load_reported(
         self, link: links.Link, report: messages.LoadReport
     ) -> None:
-        """Take in an instance's report and use what room it shows."""
+        """Apply an instance's load report, and fill its free slots."""
         instance = self.fleet.by_link(link)
         if instance is None:
             return
@@ -88,7 +88,7 @@
                 self._fill_slots(pool)
 
     def pool(self, request: Request) -> Pool:
-        """Give the queue of a request's base model or service."""
+        """Return the queue of a request's base model or service."""
         if request.base:
             key = f'model/{request.base}'
         else:
@@ -101,11 +101,11 @@
         return pool
 
     def loads_of(self, pool: Pool) -> list[InstanceLoad]:
-        """Give the loads of the instances that a queue is for."""
+        """Return the loads of the instances that serve a queue."""
         return [i.load for i in self.fleet.hosting(pool.key)]
 
     def enqueue(self, request: Request) -> None:
-        """Let a request wait for its turn, which may be now."""
+        """Queue a request; it is dispatched at once if a slot is free."""
         pool = self.pool(request)
         ctx, now = request.ctx, self._now()
         is_long = pool.is_long(request.work.cost)
@@ -121,7 +121,7 @@
         self._fill_slots(pool)
 
     def requeue(self, request: Request) -> None:
-        """Let a request wait that was handed on in vain."""
+        """Queue a request again after an attempt without an answer."""
         request.waiting_since = self._now()
         pool = self.pool(request)
         if request.is_suspect or request.queue_item is None:
@@ -131,7 +131,7 @@
         self._fill_slots(pool)
 
     def remove(self, request: Request) -> None:
-        """Drop a request that has its final outcome."""
+        """Remove a request that has its final outcome."""
         pool = self.pool(request)
         pool.queue.remove(request.ctx.request_id)
         if request in pool.suspects:
@@ -139,23 +139,23 @@
         self.release_instance(request)
 
     def release_instance(self, request: Request) -> None:
-        """Give an instance that was kept for a suspect back to all."""
+        """Release the instance that is reserved for a suspect."""
         for instance in self.fleet.instances.values():
             if instance.load.reserved_for == request.ctx.request_id:
                 instance.load.reserved_for = ''
 
     def fill_slots_for(self, request: Request) -> None:
-        """Use the room that a request has left."""
+        """Fill the slots that a request has freed."""
         self._fill_slots(self.pool(request))
 
     def tick(self) -> None:
-        """Do what time alone brings about."""
+        """Refuse requests that no instance can run, and fill free slots."""
         for pool in self._pools.values():
             self._refuse_without_instance(pool)
             self._fill_slots(pool)
 
     def may_retry(self, request: Request) -> bool:
-        """Take one retry out of the budget, if the request may have it."""
+        """Whether a request may be retried; debits the retry budget if so."""
         if request.attempts >= retries.MAX_ATTEMPTS:
             return False
         self._budget, allowed = retries.spend(
@@ -223,8 +223,8 @@
         return True
 
     def _refuse_without_instance(self, pool: Pool) -> None:
-        # Without an instance nothing would take a request out of the queue
-        # before its deadline; its caller could long have gone elsewhere.
+        # Without an instance, a request would stay in the queue until its
+        # deadline, while its caller could have tried elsewhere.
         cutoff = self._now() - NO_INSTANCE_WAIT_S
         for request in pool.waiting_before(self._requests, cutoff):
             if not self._hosts(request):
@@ -232,7 +232,7 @@
                 self._refuse(request, NotRun(text, 503, NO_INSTANCE_RETRY_S))
 
     def _is_evictable(self, item: QueuedRequest) -> bool:
-        # Its caller could only be told that it may have run.
+        # After an attempt the outcome could only be reported as unknown.
         return not self._requests[item.ctx.request_id].attempts
 
     def _may_reserve(self, instance: str) -> bool:
@@ -245,7 +245,7 @@
         return self.fleet.hosts(request.ctx, request.base)
 
     def _raise_burst(self, slots: float) -> None:
-        # All that one instance runs may be lost in one crash.
+        # All requests on one instance may be lost in a single crash.
         more = slots - self._policy.burst
         if more > 0:
             self._policy = self._policy._replace(burst=slots)
--- a/packages/burdockchute-entry/burdockchute_entry/fleet.py
+++ b/packages/burdockchute-entry/burdockchute_entry/fleet.py
@@ -1,4 +1,4 @@
-"""The agents that an entry is linked to, and what each can run."""
+"""The instances that an entry is linked to, and what each can run."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from burdockchute.nodes import links
 from burdockchute.wire import messages
 
-# Versions that the table named before, newest first. One rollout after the
-# other may leave replicas more than one version behind.
+# Versions of a target that are remembered, newest first. Rollouts in quick
+# succession may leave replicas more than one version behind.
 MAX_VERSIONS = 8
 
 OPEN = 'open'
 
 
 class PinnedWeights(NamedTuple):
-    """Weights of one answer; empty for a plain service."""
+    """Weights that an answer must come from; empty for a plain service."""
 
     digest: str
     adapter_digest: str
@@ -32,7 +32,7 @@
 
 
 class Instance:
-    """One agent; its newest link is used, older ones only drain."""
+    """One instance; only its newest link is used, older ones drain."""
 
     def __init__(self, link: links.Link, now: float) -> None:
         self.link = link
@@ -44,17 +44,17 @@
 
     @property
     def name(self) -> str:
-        """Give the name of the instance."""
+        """The name of the instance."""
         return self.load.name
 
     def apply_report(
         self, msg: messages.LoadReport, service_slots: int, now: float
     ) -> None:
-        """Take in a load report.
+        """Apply a load report.
 
-        `running` counts every request in the agent's hands, also those that
-        wait inside its upstream. A plain service reports no slots of its
-        own; `service_slots` come from the rows.
+        `running` counts all requests that the agent has accepted, including
+        those queued inside its upstream. A plain service reports no slots;
+        its `service_slots` are taken from the rows of the table.
         """
         self.report_count += 1
         self.leaving = msg.leaving
@@ -77,7 +77,7 @@
         )
 
     def hosts(self, key: str) -> bool:
-        """Tell whether any version of 'model/x' or 'service/x' is open."""
+        """Whether any version of 'model/x' or 'service/x' is open here."""
         kind, _slash, name = key.partition('/')
         return (
             name in self.services
@@ -87,7 +87,7 @@
 
 
 class Fleet:
-    """Instances by name, and the versions that the table has named."""
+    """Linked instances by name, and the versions named by the table."""
 
     def __init__(self) -> None:
         self.instances: dict[str, Instance] = {}
@@ -95,10 +95,11 @@
         self._listed_leaving: frozenset[str] = frozenset()
 
     def link_opened(self, link: links.Link, now: float) -> Instance:
-        """Take a new link, in place of an older one to the same instance.
+        """Add a link; it replaces an older one to the same instance.
 
-        The new one is used before the old is given up: an old link that
-        has gone silent would hold up the instance until it is noticed.
+        The new link is used at once, before the old one is closed: an old
+        link that has gone silent would block the instance until the silence
+        is detected.
         """
         instance = self.instances.get(link.peer.name)
         if instance is None:
@@ -109,22 +110,22 @@
         return instance
 
     def link_closed(self, link: links.Link) -> None:
-        """Forget an instance whose newest link has closed."""
+        """Remove an instance whose newest link has closed."""
         instance = self.instances.get(link.peer.name)
         if instance is not None and instance.link is link:
             del self.instances[link.peer.name]
 
     def by_link(self, link: links.Link) -> Instance | None:
-        """Give the instance at the other end of its newest link."""
+        """Return the instance whose newest link this is, else None."""
         instance = self.instances.get(link.peer.name)
         return instance if instance and instance.link is link else None
 
     def members_changed(self, leaving: Iterable[str]) -> None:
-        """Take in which instances the platform says are leaving."""
+        """Update which instances the platform lists as leaving."""
         self._listed_leaving = frozenset(leaving)
 
     def table_changed(self, table: Table) -> None:
-        """Remember which weights the table names for each target."""
+        """Record the weights that the table names for each target."""
         for name, row in tables.models(table).items():
             self._add_version(f'model/{name}', PinnedWeights(row.digest, ''))
         models = tables.models(table)
@@ -139,11 +140,11 @@
     def hosts(
         self, ctx: RequestContext, base: str
     ) -> list[tuple[PinnedWeights, list[Instance]]]:
-        """Give the instances that can run a request, by version.
+        """Return the instances that can run a request, by version.
 
-        The version the row names comes first, then those before it, newest
-        first; an instance may stand under more than one. Only weights that
-        the table named together are given together.
+        The version that the row names comes first, then earlier ones, newest
+        first; an instance may be listed under several. A model and an adapter
+        are only combined in versions that the table named together.
         """
         available = [
             i for i in self.instances.values() if self._accepts_work(i)
@@ -159,7 +160,7 @@
         return found
 
     def hosting(self, key: str) -> list[Instance]:
-        """Give the instances where any version of a row is open."""
+        """Return the instances where any version of a row is open."""
         return [
             instance
             for instance in self.instances.values()
@@ -181,8 +182,8 @@
         known = list(self._versions.get(f'{ctx.kind}/{ctx.target}', ()))
         if ctx.kind != 'model':
             return known
-        # An entry that started during a rollout has not seen the version
-        # before; an agent opens none that the table did not name.
+        # An entry that started during a rollout does not know the previous
+        # version. Agents only open versions that the table named.
         others = {
             PinnedWeights(digest, '')
             for instance in available
@@ -199,7 +200,7 @@
 
 
 def base_of(ctx: RequestContext, table: Table) -> str:
-    """Give the model whose instances run a request, '' for a service."""
+    """Return the model whose instances run a request, '' for a service."""
     if ctx.kind == 'model':
         return ctx.target
     if ctx.kind == 'adapter':
@@ -215,7 +216,7 @@
     attempt_id: str,
     budget_s: float,
 ) -> messages.Dispatch:
-    """Give the message that hands a request on."""
+    """Return the message that sends a request to an instance."""
     return messages.Dispatch(
         request_id=ctx.request_id,
         attempt_id=attempt_id,
--- a/packages/burdockchute-entry/burdockchute_entry/pools.py
+++ b/packages/burdockchute-entry/burdockchute_entry/pools.py
@@ -1,4 +1,4 @@
-"""Requests that wait for the same instances, and where they go."""
+"""Queues of requests for the same instances, and the choice of an instance."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 from burdockchute_entry.fleet import Instance
 from burdockchute_entry.fleet import PinnedWeights
 
-# Of the instances of a pool so many may be kept for suspects, so that those
-# who have nothing to do with a crash are still served.
+# Largest share of a pool's instances that may be reserved for suspects, so
+# that requests unrelated to a crash are still served.
 MAX_RESERVED_SHARE = 0.5
 
 
 class Placeable(Protocol):
-    """What placement needs of a request; a host that it avoids is left."""
+    """What placement needs of a request; hosts that it avoids are skipped."""
 
     @property
     def ctx(self) -> RequestContext: ...
@@ -56,7 +56,7 @@
 
 
 class ChosenHost(NamedTuple, Generic[AnyHost]):
-    """Where a request goes and the weights that it is pinned to."""
+    """The instance chosen for a request, and the weights it is pinned to."""
 
     instance: AnyHost
     pinned: PinnedWeights
@@ -65,7 +65,8 @@
 class Pool:
     """The queue for one base model or service.
 
-    `unit_s` is the mean time per unit of work, 0 before the first answer.
+    `unit_s` is the mean time per unit of work in seconds, 0 before the first
+    answer.
     """
 
     def __init__(self, key: str) -> None:
@@ -77,7 +78,7 @@
         self.long_share = 1.0
 
     def configure(self, table: Table) -> None:
-        """Take the limits of the row."""
+        """Apply the limits in the row."""
         kind, _slash, name = self.key.partition('/')
         if kind == 'service':
             service = tables.find_row(table, ServiceRow, name)
@@ -91,15 +92,15 @@
             self.long_share = model.long_share
 
     def is_long(self, cost: float) -> bool:
-        """Tell whether a request holds a slot for long.
+        """Whether a request occupies a slot for long.
 
-        A long prompt alone does not: it is computed in a fraction of the
-        time that as many generated tokens take.
+        A long prompt alone does not: it is processed in a fraction of the
+        time that the same number of generated tokens takes.
         """
         return 0 < self.long_tokens <= cost
 
     def record_unit_time(self, unit_s: float) -> None:
-        """Take in how long one unit of work took."""
+        """Add the time per unit of work of an answer to the moving average."""
         if self.unit_s:
             unit_s = (1 - SMOOTHING) * self.unit_s + SMOOTHING * unit_s
         self.unit_s = unit_s
@@ -107,7 +108,7 @@
     def expected_wait_s(
         self, request: Placeable, loads: Iterable[InstanceLoad], now: float
     ) -> float:
-        """Estimate how long a request that came now would wait."""
+        """Estimate in seconds how long a request queued now would wait."""
         loads = list(loads)
         if any(load.headroom(now) for load in loads) and not len(self.queue):
             return 0.0
@@ -120,14 +121,14 @@
         )
 
     def drain_s(self, loads: Iterable[InstanceLoad], now: float) -> float:
-        """Estimate how long all that waits will take."""
+        """Estimate in seconds how long the queued requests will take."""
         slots = sum(_available_slots(load, now) for load in loads)
         return self.queue.work() * self.unit_s / max(1, slots)
 
     def waiting_before(
         self, requests: Mapping[str, Request], cutoff: float
     ) -> list[Request]:
-        """Give the requests that have waited since before a time."""
+        """Return the requests that have waited since before `cutoff`."""
         queued = [
             requests[item.ctx.request_id]
             for item in self.queue.queued_before(cutoff)
@@ -144,11 +145,12 @@
         now: float,
         rng: random.Random,
     ) -> ChosenHost[AnyHost] | None:
-        """Choose for one request; None where none of its hosts has room.
+        """Choose a host for a request; None if none of its hosts has room.
 
-        The named version goes first. Where its replicas are full, one that
-        is still open with the version before takes the request: the first
-        replica of a new version would otherwise get everybody's load.
+        The version named by the table comes first. If its replicas are full,
+        a replica where an earlier version is still open gets the request:
+        otherwise the first replica of a new version would get the load of
+        all callers.
         """
         for pinned, instances in hosts:
             candidates = [i for i in instances if not request.avoids(i)]
@@ -171,10 +173,11 @@
     ) -> ChosenHost[Instance] | None:
         """Choose an instance on which a suspect runs alone.
 
-        One that is busy is kept for it and gets no more work meanwhile. Were
-        two entries to run suspects of one crash on the same instance, the
-        second crash would convict a bystander as well; `may_reserve` tells
-        which instances this entry may keep, as long as it may keep any.
+        A busy instance is reserved for the suspect and gets no further work
+        until it is idle; None is returned meanwhile. If two entries ran
+        suspects of one crash on the same instance, a second crash would also
+        convict an innocent request. `may_reserve` tells which instances this
+        entry may reserve; it is ignored if that is none of them.
         """
         reservable = [
             (pinned, [i for i in found if may_reserve(i.name)])
