--- a/packages/burdockchute-entry/burdockchute_entry/claim_collector.py
+++ b/packages/burdockchute-entry/burdockchute_entry/claim_collector.py
@@ -1,8 +1,8 @@
-"""Gathers claims on one stream of the log into few appends.
+"""Batches claims on one stream of the log into few appends.
 
-One greenlet appends, one reads. Verdicts come from the reading alone: what
-was read in order from the oldest record kept decides, so that a lost reply
-to an append, a second gatherer or a pause change nothing.
+One greenlet appends and another reads. Only the records read decide, in the
+order of the stream and starting with the oldest one kept. A lost reply to an
+append, a second collector or a pause of this process thus changes no verdict.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 from burdockchute.platform import log as platform_log
 from burdockchute.platform.log import Log
 
-# Shortest time between two appends to one stream; all streams together then
-# stay near 300 appends a second however many claims come.
+# Minimum interval between appends to one stream. All streams together then
+# stay near 300 appends per second, however many claims there are.
 BATCH_INTERVAL_S = 0.05
 MAX_BATCH = 256
 
@@ -33,11 +33,11 @@
 RETRY_S = 0.5
 RETRY_AFTER_S = 2.0
 
-# An append that has taken this long is stuck; claims that come now are
-# refused at once instead of waiting behind it.
+# An append that has taken this long is stuck; new claims are refused at once
+# instead of waiting behind it.
 STUCK_APPEND_S = 1.0
 
-# How long the reading may take to show an append whose reply was lost.
+# How long to wait until an append whose reply was lost has been read back.
 LOST_REPLY_WAIT_S = 1.0
 FORGET_INTERVAL_S = 30.0
 
@@ -58,7 +58,7 @@
 
 
 class ClaimCollector:
-    """Claims on one stream; `submit` never blocks."""
+    """Collects the claims on one stream; `submit` never blocks."""
 
     def __init__(self, stream: str, log: Log, clocks: Clocks) -> None:
         self.stream = stream
@@ -82,11 +82,11 @@
         ]
 
     def stop(self) -> None:
-        """Stop both tasks; what is pending is never answered."""
+        """Stop both tasks; pending acts are never answered."""
         gevent.killall(self._tasks)
 
     def submit(self, act: Act, answer: Answer) -> None:
-        """Write an act into the log; answers once it is read back."""
+        """Append an act to the log; `answer` is called once it is read."""
         now = self._clocks.now()
         self.last_used = now
         if self._is_stuck(now):
@@ -144,8 +144,8 @@
         extent = self._log.extent(self.stream)
         if isinstance(extent, Failure):
             return False
-        # Everything that is kept is read, since a claim that decides may be
-        # as old as the window.
+        # All records kept are read, since the claim that decides may be as
+        # old as the window of its key.
         self.offset = extent.unwrap().earliest
         self.table = ClaimTable()
         return True
@@ -157,7 +157,7 @@
         if isinstance(read, Failure):
             if isinstance(read.failure(), platform_log.Trimmed):
                 # This process was paused for longer than the log keeps
-                # records, and what it has missed may hold keys.
+                # records; those that it missed may claim keys.
                 self.offset = -1
                 return
             gevent.sleep(RETRY_S)
--- a/packages/burdockchute-entry/burdockchute_entry/claims_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/claims_task.py
@@ -1,8 +1,9 @@
-"""Claims keys for the router, and gathers claims of all entries.
+"""Claims idempotency keys for the router, and collects claims of all entries.
 
-Which entry gathers a stream is chosen by rendezvous hash among those that
-the instance list shows live. That two may think so of themselves for a while
-costs appends and nothing else, since the stream's order decides.
+The entry that collects the claims of a stream is chosen by rendezvous hashing
+among the entries that the instance list shows as live. Two entries may collect
+one stream for a while. That only costs more appends, since the order of the
+records in the stream decides.
 """
 
 from __future__ import annotations
@@ -40,27 +41,28 @@
 from burdockchute_entry.claim_collector import ClaimCollector
 from burdockchute_entry.claim_collector import Clocks
 
-# A claim costs two trips to the log and two between entries; one that takes
-# this long meets an outage, and its caller is better told so.
+# A claim takes two round trips to the log and two between entries. One that
+# takes this long has met an outage, and its caller is refused.
 CLAIM_TIMEOUT_S = 2.0
 RETRY_AFTER_S = 2.0
 
-# The list of instances shows a dead entry as live for a while, and every
-# claim passed to it would time out. An entry that let one claim time out is
-# passed over for longer than the list lags; if it was only slow, two entries
-# gather a stream for a while, which costs appends and nothing else.
+# The instance list shows a dead entry as live for a while, and every claim
+# sent to it would time out. An entry at which a claim has timed out is
+# excluded for longer than the list lags. If it was only slow, two entries
+# collect a stream for a while, which only costs more appends.
 EXCLUDED_S = 30.0
 
-# How often a release or an outcome is sent again until it is in the log.
-# Each is sent until its key is out of its window: without a release the
-# caller could not come again, without an outcome it would never hear it.
+# Interval at which a release or an outcome is sent again until it is in the
+# log, or until the window of its key has ended. Without the release the caller
+# could not use the key again; without the outcome, a resent request could not
+# be answered.
 RESEND_S = 3.0
 MAX_UNSETTLED = 20_000
 
 TICK_S = 0.2
 
-# A stream that nobody asks for any more is read on for a while, as the list
-# of live entries may change back.
+# A stream for which no claims arrive is still read for a while, as the list of
+# live entries may change back.
 IDLE_S = 120.0
 
 ENTRY = 'entry'
@@ -69,7 +71,7 @@
 
 
 class _PendingClaim(NamedTuple):
-    wanted: ClaimRequested
+    claim: ClaimRequested
     due: float
     collecting_entry: str
 
@@ -81,7 +83,10 @@
 
 
 class _LocalVerdict(NamedTuple):
-    """A verdict of a gatherer in this process, for whoever asked."""
+    """A verdict of a collector in this process; `peer` sent the claim.
+
+    `peer` is empty for claims of this entry.
+    """
 
     peer: str
     act: Act
@@ -89,9 +94,9 @@
 
 
 class ClaimsTask:
-    """Takes messages in `inbox`.
+    """Handles the messages in `inbox`.
 
-    It takes those of `burdockchute.model.claims`, MembersChanged, and
+    These are the messages of `burdockchute.model.claims`, MembersChanged, and
     ClaimRequest and ClaimReply as links.Received. `send_to` sends a message
     to another entry by its name.
     """
@@ -110,7 +115,7 @@
         self._pending: dict[str, _PendingClaim] = {}
         self._unsettled: dict[tuple[str, str], _Unsettled] = {}
         self._handlers: dict[type, Callable[[Any], None]] = {
-            ClaimRequested: self._claim_wanted,
+            ClaimRequested: self._claim_requested,
             ClaimReleased: self._claim_released,
             ClaimFinished: self._claim_finished,
             MembersChanged: self._members_changed,
@@ -119,26 +124,26 @@
         }
 
     def run(self) -> None:
-        """Take messages for ever."""
+        """Handle messages forever."""
         tasks.process_inbox(
             self.inbox, self.handle, self.tick, TICK_S, self._clocks.now
         )
 
     def handle(self, event: Any) -> None:
-        """Take one message."""
+        """Handle one message."""
         self._handlers[type(event)](event)
 
     def stop(self) -> None:
-        """Stop the gatherers."""
+        """Stop the collectors."""
         for collector in self.collectors.values():
             collector.stop()
 
     def settled(self) -> bool:
-        """Tell whether every release and outcome is in the log."""
+        """Whether every release and outcome is in the log."""
         return not self._unsettled
 
     def tick(self) -> None:
-        """Give up what takes too long and send again what has no reply."""
+        """Time out claims, and resend releases and outcomes without reply."""
         now = self._clocks.now()
         for attempt_id, pending in list(self._pending.items()):
             if pending.due <= now:
@@ -157,9 +162,9 @@
                 self._forward(unsettled.act)
         self._stop_idle_collectors(now)
 
-    # For the router of this entry.
+    # Messages of the router of this entry.
 
-    def _claim_wanted(self, event: ClaimRequested) -> None:
+    def _claim_requested(self, event: ClaimRequested) -> None:
         ctx = event.ctx
         issued_at = parse.issued_at(ctx.idempotency_key) or 0.0
         outside = claims.outside_window(
@@ -195,21 +200,21 @@
         self._forward(act)
 
     def _abandon_claim(self, attempt_id: str, verdict: Verdict) -> None:
-        # The claim may have landed all the same, or land later. The router
-        # is told first and will not dispatch this attempt any more; only
-        # then is the key given back.
+        # The claim may be in the log all the same, or get there later. The
+        # router is notified first, so that it does not dispatch this attempt;
+        # only then is the key released.
         pending = self._pending.pop(attempt_id)
-        self._reply(pending.wanted, verdict)
+        self._reply(pending.claim, verdict)
         self._send_until_logged(
-            _act(claims.RELEASE, pending.wanted.ctx, attempt_id)
+            _act(claims.RELEASE, pending.claim.ctx, attempt_id)
         )
 
-    def _reply(self, wanted: ClaimRequested, verdict: Verdict) -> None:
-        wanted.replies.put(
-            ClaimDecided(wanted.ctx.request_id, wanted.attempt_id, verdict)
+    def _reply(self, claim: ClaimRequested, verdict: Verdict) -> None:
+        claim.replies.put(
+            ClaimDecided(claim.ctx.request_id, claim.attempt_id, verdict)
         )
 
-    # Between entries.
+    # Messages between entries.
 
     def _forward(self, act: Act) -> None:
         collecting_entry = self._collecting_entry(act)
@@ -271,12 +276,12 @@
                 self._unsettled.pop((attempt_id, act_name), None)
             return
         if attempt_id not in self._pending:
-            # Given up in the meantime.
+            # The claim has timed out or was released meanwhile.
             return
         if isinstance(verdict, Unavailable):
             self._abandon_claim(attempt_id, verdict)
             return
-        self._reply(self._pending.pop(attempt_id).wanted, verdict)
+        self._reply(self._pending.pop(attempt_id).claim, verdict)
 
     def _members_changed(self, event: MembersChanged) -> None:
         self._entries = _live_entries(event.members, self._name)
--- a/packages/burdockchute-entry/tests/test_claims_task.py
+++ b/packages/burdockchute-entry/tests/test_claims_task.py
@@ -1,4 +1,4 @@
-"""Claims through the log, between two entries."""
+"""Claims of two entries through the log."""
 
 from __future__ import annotations
 
@@ -97,8 +97,8 @@
                 gevent.sleep(0.01)
 
     def test_one_of_two_entries_wins(self):
-        # A volunteer's tablet sends a dispatch again over the balancer,
-        # which picks the other entry, while the first still works on it.
+        # A client resends a request while the first entry still handles it,
+        # and the load balancer picks the other entry.
         pending = [self.claim(name, self.request()) for name in NAMES]
         verdicts = [replies.get(timeout=10).verdict for replies in pending]
         kinds = sorted(type(verdict).__name__ for verdict in verdicts)
@@ -116,12 +116,12 @@
         other = self.request(fingerprint='other')
         self.assertEqual(claims.OtherBody(), self.verdict('two', other))
 
-    def test_entry_that_does_not_answer_is_passed_over(self):
-        # An entry dies and the instance list still shows it. The other one
-        # passed it the claims of half of all keys, and refused them until
-        # the list had caught up.
-        gathered = [f'{int(time.time())}-{n}' for n in range(20)]
-        for key in gathered:
+    def test_entry_that_does_not_answer_is_excluded(self):
+        # An entry dies and the instance list still shows it. The other entry
+        # sent it the claims of half of all keys, and refused these requests
+        # until the list was up to date.
+        keys = [f'{int(time.time())}-{n}' for n in range(20)]
+        for key in keys:
             stream = protocol.stream_of(protocol.ClaimKey('lindwurm', key))
             if hosting.ranked(stream, sorted(NAMES))[0] == 'two':
                 self.key = key
@@ -142,8 +142,8 @@
         verdict = self.verdict('one', self.request())
         self.assertIsInstance(verdict, claims.Unavailable)
         self.assertGreater(verdict.retry_after_s, 0)
-        # Its release reaches the log when that is back, so that the caller
-        # may come again.
+        # The release is appended once the log is available again, so that
+        # the caller can use the key again.
         self.log.down = False
         self.settle()
         self.check_won('two')
@@ -159,12 +159,12 @@
         self.settle()
         self.check_won('two')
 
-    def test_gatherer_that_can_not_be_reached(self):
-        # The entry that gathers this key's stream is cut off. The caller is
-        # told not-run, and later the key is free again.
+    def test_collector_that_can_not_be_reached(self):
+        # The entry that collects this key's stream is unreachable. The
+        # request is refused as not run, and the key is free again later.
         ranked = protocol.stream_of(protocol.ClaimKey('lindwurm', self.key))
-        gathers = claims_task.hosting.ranked(ranked, NAMES)[0]
-        other = next(name for name in NAMES if name != gathers)
+        collecting = claims_task.hosting.ranked(ranked, NAMES)[0]
+        other = next(name for name in NAMES if name != collecting)
         self.cut = True
         verdict = self.verdict(other, self.request())
         self.assertIsInstance(verdict, claims.Unavailable)
@@ -172,8 +172,8 @@
         self.settle()
         self.check_won(other)
 
-    def test_both_believe_that_they_gather(self):
-        # Each entry sees only itself in the lagging instance list.
+    def test_both_entries_collect_the_stream(self):
+        # Each entry sees only itself in an outdated instance list.
         for name in NAMES:
             self.tasks[name].inbox.put(MembersChanged((member(name),)))
         pending = [
--- a/packages/burdockchute-entry/tests/test_ticks.py
+++ b/packages/burdockchute-entry/tests/test_ticks.py
@@ -1,4 +1,4 @@
-"""Tasks do what is due also while messages keep coming."""
+"""Periodic work of tasks is also done while messages keep arriving."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
         self.now = 0.0
 
     def check_ticks(self, task):
-        # At the peak there is always another message in the inbox. Claims
-        # that take too long would never be given up.
+        # Under peak load the inbox is never empty. If a task only ticked on
+        # an empty inbox, claims would never time out.
         left = iter(range(MESSAGES))
 
         def always_one(timeout):
