--- a/packages/burdockchute-entry/burdockchute_entry/crashes_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/crashes_task.py
@@ -1,6 +1,7 @@
-"""Tells all entries of requests that crash upstreams, through the log.
+"""Shares reports of requests that crash upstreams with all entries.
 
-Such records are rare: one for each request in flight in a crash.
+They are shared through the log, where such records are rare: one for each
+request in flight in a crash.
 """
 
 from __future__ import annotations
@@ -28,13 +29,13 @@
 RETRY_S = 1.0
 MAX_RECORDS = 500
 
-# News of a crash is worth waiting for the log so long; by then its resends
-# have come or stay away.
+# How long to retry the append of a crash report. Callers that send their
+# request again have done so by then.
 APPEND_TIMEOUT_S = 120.0
 
 
 class CrashesTask:
-    """Takes CrashReport in `inbox`; `publish` gets each PeerCrashReport."""
+    """Appends each CrashReport in `inbox`; publishes each PeerCrashReport."""
 
     def __init__(
         self,
@@ -48,33 +49,34 @@
         self._publish = publish
         self._now = now
         self._now_unix = now_unix
-        # Our own records come back to us; a name would not do, since what
-        # this entry wrote before a restart is news to it.
+        # Identifies this process, to skip its own records. The entry's name
+        # would not do, since a restarted entry needs the records that it wrote
+        # before.
         self._writer = uuid.uuid4().hex
         self._offset = -1
 
     def run(self) -> None:
-        """Append what was seen here, for ever."""
+        """Append the crash reports of this entry, forever."""
         while True:
             self._append(self.inbox.get())
 
     def read_forever(self) -> None:
-        """Pass on what the other entries have seen."""
+        """Publish the crash reports of the other entries, forever."""
         while True:
             if not self._read():
                 gevent.sleep(RETRY_S)
 
-    def _append(self, seen: CrashReport) -> None:
-        data = encode(seen, self._writer, self._now_unix())
+    def _append(self, report: CrashReport) -> None:
+        data = encode(report, self._writer, self._now_unix())
         until = self._now() + APPEND_TIMEOUT_S
         while self._now() < until:
             appended = self._log.append(STREAM, data)
             if not isinstance(appended, Failure):
                 return
-            # A second copy does no harm: crashes of one upstream within a
+            # A duplicate record is harmless: crashes of one upstream within a
             # second count once.
             gevent.sleep(RETRY_S)
-        logs.warn('crash_not_told', fingerprint=seen.fingerprint)
+        logs.warn('crash_not_told', fingerprint=report.fingerprint)
 
     def _read(self) -> bool:
         if self._offset < 0:
@@ -99,26 +101,26 @@
             self._publish(record)
 
 
-def encode(seen: CrashReport, writer: str, now_unix: float) -> str:
-    """Give the log record of a crash."""
+def encode(report: CrashReport, writer: str, now_unix: float) -> str:
+    """Return the log record of a crash report."""
     document = {'v': FORMAT, 'writer': writer, 'at': now_unix}
-    return json.dumps(document | seen._asdict(), separators=(',', ':'))
+    return json.dumps(document | report._asdict(), separators=(',', ':'))
 
 
 def decode(data: str, writer: str, now_unix: float) -> PeerCrashReport | None:
-    """Give what a record tells, None for our own and unreadable ones."""
+    """Return the report in a record, None for own and unreadable records."""
     try:
         document: Any = json.loads(data)
         if document['v'] != FORMAT or document['writer'] == writer:
             return None
-        seen = CrashReport(
+        report = CrashReport(
             str(document['fingerprint']),
             str(document['upstream']),
             bool(document['alone']),
             bool(document['convicted']),
         )
         return PeerCrashReport(
-            seen, max(0.0, now_unix - float(document['at']))
+            report, max(0.0, now_unix - float(document['at']))
         )
     except (ValueError, KeyError, TypeError, RecursionError):
         return None
--- a/packages/burdockchute-entry/tests/test_crashes.py
+++ b/packages/burdockchute-entry/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""A request that crashes upstreams, among good ones."""
+"""A request that crashes upstreams, and the requests in flight beside it."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Site:
-    """Agents of which each crashes with the poison and comes back."""
+    """Agents whose upstreams crash on the poison request and restart."""
 
     def __init__(self, names) -> None:
         self.bench = routing.Bench(requests.table_of())
@@ -34,7 +34,7 @@
         self.taken: dict[str, int] = dict.fromkeys(names, 0)
 
     def step(self) -> None:
-        """Let each agent run what it was given since the last step."""
+        """Let each agent run the requests sent to it since the last step."""
         for name, link in list(self.links.items()):
             sent = link.dispatched()[self.taken[name] :]
             self.taken[name] += len(sent)
@@ -63,9 +63,9 @@
 
 class CrashTest(unittest.TestCase):
     def test_bystanders_are_answered_and_the_poison_refused(self):
-        # One prompt brings down each upstream that runs it. Those in flight
-        # beside it had nothing to do with it and are waited for; sent
-        # again, the prompt must not reach a third upstream.
+        # One prompt crashes each upstream that runs it. Requests in flight
+        # beside it must still be answered; when sent again, the prompt must
+        # not reach a third upstream.
         site = Site('abc')
         bystanders = [site.bench.submit(good(n)) for n in range(6)]
         bad = site.bench.submit(poison())
@@ -83,8 +83,8 @@
         self.assertTrue(site.bench.crashes[-1].convicted)
 
     def test_suspects_run_alone(self):
-        # While a suspect runs, its instance gets nothing else that could be
-        # taken down with it.
+        # While a suspect runs, its instance gets no other requests, which a
+        # crash would interrupt.
         site = Site('ab')
         site.bench.submit(poison())
         site.step()
@@ -100,9 +100,10 @@
             site.bench.submit(good(number))
         self.assertEqual(before, len(hosts[1].dispatched()))
 
-    def test_entries_keep_different_instances_for_suspects(self):
-        # Both entries had requests in flight in one crash. On one instance
-        # the second crash would convict a bystander with the poison.
+    def test_entries_reserve_different_instances_for_suspects(self):
+        # Both entries had requests in flight in one crash. If they ran them
+        # on one instance, a second crash would also convict an innocent
+        # request.
         entries = tuple(
             Member(name, 'entry', '127.0.0.1', 1, Place('', '', ''))
             for name in ('e1', 'e2')
@@ -123,7 +124,8 @@
         self.assertEqual(set(), kept[0] & kept[1])
 
     def test_other_entries_refuse_it_too(self):
-        # Its caller sends it again, and the balancer picks another entry.
+        # The caller sends the request again, and the load balancer picks
+        # another entry.
         bench = routing.Bench(requests.table_of())
         link = bench.agent('a')
         seen = CrashReport(POISON, 'x', True, True)
@@ -133,8 +135,8 @@
         self.assertEqual([], link.dispatched())
 
     def test_crashes_at_two_entries_add_up(self):
-        # Each entry saw one crash; non-idempotent requests are not run
-        # again, so neither would ever see a second.
+        # Each entry sees one crash. Non-idempotent requests are not run
+        # again, so neither entry would ever see a second one.
         bench = routing.Bench(requests.table_of())
         link = bench.agent('a')
         bench.router.handle(
@@ -159,7 +161,7 @@
             self.addCleanup(gevent.spawn(loop).kill)
         return task, learned
 
-    def test_other_entry_learns_of_a_crash(self):
+    def test_other_entry_receives_a_crash_report(self):
         log = FakeLog()
         one, own = self.start(log)
         _two, learned = self.start(log)
@@ -168,7 +170,7 @@
         self.assertEqual(PeerCrashReport(seen, 0.0), learned.get(timeout=10))
         self.assertEqual(0, own.qsize())
 
-    def test_records_that_tell_nothing(self):
+    def test_own_and_unreadable_records_are_skipped(self):
         seen = CrashReport(POISON, 'a', False, False)
         text = crashes_task.encode(seen, 'me', 900.0)
         self.assertIsNone(crashes_task.decode(text, 'me', 1000.0))
