--- a/packages/burdockchute-entry/burdockchute_entry/limits_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/limits_task.py
@@ -1,4 +1,4 @@
-"""Shares customers' limits between the entries; see decisions.limits."""
+"""Divides customers' limits between the entries; see decisions.limits."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 
 class DemandMeasured(NamedTuple):
-    """What each customer asked for here in the last period."""
+    """The demand of each customer at this entry in the last period."""
 
     demands: Mapping[str, Demand]
 
 
 class SharesChanged(NamedTuple):
-    """For the router: this entry's shares, and how many entries there are."""
+    """For the router: this entry's shares, and the number of entries."""
 
     shares: Mapping[str, Share]
     entries: int
@@ -46,9 +46,10 @@
 
 
 class LimitsTask:
-    """Takes DemandSeen, TableChanged, MembersChanged and links.Received.
+    """Handles the messages in `inbox`.
 
-    `publish` gets SharesChanged; `send_to` sends to another entry.
+    These are DemandMeasured, TableChanged, MembersChanged and links.Received.
+    `publish` gets SharesChanged; `send_to` sends a message to another entry.
     """
 
     def __init__(
@@ -75,17 +76,17 @@
         }
 
     def run(self) -> None:
-        """Take messages for ever."""
+        """Handle messages forever."""
         tasks.process_inbox(
             self.inbox, self.handle, self.tick, PERIOD_S, self._now
         )
 
     def handle(self, event: Any) -> None:
-        """Take one message."""
+        """Handle one message."""
         self._handlers[type(event)](event)
 
     def tick(self) -> None:
-        """Divide the limits of the customers that this entry answers for."""
+        """Divide the limits of the customers that this entry owns."""
         now = self._now()
         replies: dict[str, list[messages.Share]] = {}
         for customer in list(self._reported):
--- a/packages/burdockchute-entry/tests/test_limits_task.py
+++ b/packages/burdockchute-entry/tests/test_limits_task.py
@@ -1,4 +1,4 @@
-"""A customer's limit over three entries."""
+"""A customer's limit divided between three entries."""
 
 from __future__ import annotations
 
