--- a/packages/burdockchute-entry/burdockchute_entry/instance_polling.py
+++ b/packages/burdockchute-entry/burdockchute_entry/instance_polling.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list of instances again and again."""
+"""Polls the platform's instance list."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 class Tick(NamedTuple):
-    """Sent every TICK_S; `listed` is None when the list was not read."""
+    """Sent every TICK_S; `listed` is None if the list was not read."""
 
     listed: tuple[Member, ...] | None
 
 
 def poll(instances: InstanceList, put: Callable[[Tick], None]) -> None:
-    """Read the list for ever, less often the longer it is."""
+    """Poll the list forever, less often the longer it is."""
     due = 0.0
     while True:
         if time.monotonic() < due:
@@ -41,7 +41,7 @@
 
 
 def agents_on_wire(members: Iterable[Member]) -> Iterator[messages.Member]:
-    """Give the agents among the members as agents are told of them."""
+    """Return the agents among the members, as messages to agents."""
     for member in members:
         if member.role == 'agent':
             yield messages.Member(
@@ -59,6 +59,6 @@
     result = instances.fetch()
     if isinstance(result, Failure):
         logs.warn('instance_list_unavailable', reason=result.failure().reason)
-        # Go on with what was known, and dial again what was lost.
+        # Keep the known members, and dial those whose link was lost.
         return Tick(None)
     return Tick(tuple(sorted(result.unwrap(), key=lambda m: m.name)))
--- a/packages/burdockchute-entry/burdockchute_entry/links_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/links_task.py
@@ -1,13 +1,13 @@
 """Links of an entry: to the agents it places work on and to other entries.
 
-This task reads the platform's list of instances, dials agents, and hands on
-what comes over the links. Messages of agents about requests go to the router;
-messages of other entries go to whoever handles their type. Each agent is sent
-the rows it lacks and the members it may copy from.
-
-An entry dials another only when it has something to say to it, since links
-between each two of 360 entries would cost more in heartbeats than control
-may cost.
+This task polls the platform's instance list, dials agents, and dispatches the
+messages received over the links. Messages of agents go to the router; messages
+of other entries go to the handler for their type. Each agent is sent the rows
+it lacks and the members it may copy from.
+
+An entry dials another only when it has a message for it. A full mesh of 360
+entries would need more traffic for heartbeats than the budget of the control
+plane allows.
 """
 
 from __future__ import annotations
@@ -37,35 +37,36 @@
 from burdockchute_entry.instance_polling import Tick
 from burdockchute_entry.subset_task import SubsetTask
 
-# An instance that refuses connections has died or not yet started; one dial
-# in this time finds it soon without a storm from every entry at once.
+# An instance that refuses connections has died or not yet started. One dial
+# per interval finds it soon, without a connection storm from all entries.
 REDIAL_S = 0.5
 
-# Changes of the list that come together, as when a zone goes, are sent to
-# agents as one.
+# Changes of the list within this time, as when a zone fails, are sent to
+# agents in one message.
 MEMBERS_DELAY_S = 0.2
 
-# Agents are told this often how old the rows are; a tenth of what an operator
-# would act on, and some 30 bytes a second for each link. It comes before a
-# heartbeat would, so that the link needs none.
+# Interval at which agents are sent the age of the rows: a tenth of the age
+# that an operator would act on, at some 30 bytes per second and link. It is
+# shorter than the heartbeat interval, so that the link needs no heartbeats.
 AGE_INTERVAL_S = 1.5
 
-# An entry without the log asks this many others for the table; asking all
-# would make each outage cost the square of the number of entries.
+# An entry that cannot read the log asks this many others for the table. If
+# each asked all others, an outage would cost the square of the number of
+# entries.
 MAX_PEERS_ASKED = 3
 
 
-# A link that is no longer ours to keep stays for a while, in which the list
-# may change its mind, and then until no request uses it.
+# A link to an agent that is no longer chosen is kept for this long, since the
+# instance list may change back, and then until no request uses it.
 SURPLUS_KEPT_S = 60.0
 
 
 class LinkHandlers(NamedTuple):
-    """Where events of links go.
+    """Handlers of events on links.
 
-    `router` takes what concerns agents; `peers` has a function for each type
-    of message that other entries send; `in_use` tells whether a request is
-    at an instance.
+    `router` gets the events of links to agents; `peers` has a handler for each
+    type of message that other entries send; `in_use` tells whether a request
+    runs on an instance.
     """
 
     router: Callable[[Any], None]
@@ -74,7 +75,7 @@
 
 
 class TableSource(NamedTuple):
-    """How rows for agents and for other entries are made."""
+    """Provides the rows for agents and for other entries."""
 
     offset: Callable[[], int]
     delta_for: Callable[[int], messages.TableDelta]
@@ -96,7 +97,7 @@
 
 
 class LinksTask:
-    """Owns all links of an entry."""
+    """Owns the links of an entry."""
 
     def __init__(
         self,
@@ -122,7 +123,7 @@
         self._unsent: dict[str, list[Any]] = {}
         self._membership = Membership()
         self._link_reports: dict[str, LinkReport] = {}
-        self._wanted: frozenset[str] = frozenset()
+        self._chosen: frozenset[str] = frozenset()
         self._surplus: dict[str, float] = {}
         self._subset = SubsetTask(
             name, lambda names: self.inbox.put(_SubsetChanged(names))
@@ -135,22 +136,22 @@
         self._age_due = 0.0
 
     def run(self) -> None:
-        """Handle messages for ever."""
+        """Handle messages forever."""
         gevent.spawn(instance_polling.poll, self._list, self.inbox.put)
         gevent.spawn(self._subset.run)
         while True:
             self._handle(self.inbox.get())
 
     def send_to(self, name: str, message: Any) -> None:
-        """Send a message to another entry, dialling it if need be.
+        """Send a message to another entry, dialling it if there is no link.
 
-        The message is lost if the entry can't be reached; whoever waits for
-        an answer has a deadline of its own.
+        The message is lost if the entry cannot be reached; callers that need
+        an answer must set their own deadline.
         """
         self.inbox.put(_MessageToPeer(name, message))
 
     def ask_peers(self, known_offset: int) -> None:
-        """Ask some other entries for a table newer than ours."""
+        """Ask some other entries for a table newer than `known_offset`."""
         entries = [
             member.name
             for member in self.members
@@ -161,7 +162,7 @@
             self.send_to(name, messages.TableRequest(known_offset))
 
     def agent_links(self) -> list[links.Link]:
-        """Give the open links to agents."""
+        """Return the open links to agents."""
         return [
             link for link in self._links.values() if link.peer.role == 'agent'
         ]
@@ -210,27 +211,25 @@
     def _send_member_changes(self) -> None:
         self._members_due = 0.0
         self._members_sent += 1
-        added, removed = membership.changes(
-            self._members_reported, self.members
-        )
+        added, gone = membership.changes(self._members_reported, self.members)
         self._members_reported = self.members
         message = messages.Members(
             list(instance_polling.agents_on_wire(added)),
             self._members_sent,
             True,
-            removed,
+            gone,
         )
         frame = links.encode_frame(message)
         for link in self.agent_links():
             self._send_frame(link, frame)
 
-    def _on_subset(self, wanted: _SubsetChanged) -> None:
-        self._wanted = wanted.names
+    def _on_subset(self, changed: _SubsetChanged) -> None:
+        self._chosen = changed.names
         self._dial_missing(time.monotonic())
 
     def _dial_missing(self, now: float) -> None:
         for member in self.members:
-            if member.name in self._wanted and member.name not in self._links:
+            if member.name in self._chosen and member.name not in self._links:
                 self._dial(member, now)
 
     def _close_surplus(self, now: float) -> None:
@@ -238,13 +237,14 @@
         surplus: dict[str, links.Link] = {}
         for link in self.agent_links():
             name = link.peer.name
-            # One that is not listed is kept as long as it answers.
-            if name in self._wanted or name not in members:
+            # Links to agents that are not listed are kept while they work.
+            if name in self._chosen or name not in members:
                 self._surplus.pop(name, None)
             else:
                 surplus[name] = link
-        # The chosen may not answer; until they do, as many others stand in.
-        missing = (self._wanted & members) - self._links.keys()
+        # Chosen agents may be unreachable. Until they are linked, as many
+        # surplus links are kept in their place.
+        missing = (self._chosen & members) - self._links.keys()
         spare = len(surplus) - len(missing)
         for name, link in surplus.items():
             since = self._surplus.setdefault(name, now)
@@ -303,8 +303,8 @@
         if link.peer.role == 'agent':
             self._agent_opened(event)
         else:
-            # Two entries may dial each other at once. Both links stay, since
-            # closing one could lose what is on its way.
+            # Two entries may dial each other at once. Both links are kept,
+            # since closing one could lose messages in transit.
             self._links.setdefault(link.peer.name, link)
         for message in self._unsent.pop(link.peer.name, ()):
             self._send(link, message)
@@ -313,7 +313,7 @@
         link = event.link
         old: links.Link | None = self._links.get(link.peer.name)
         if old is not None and _is_same_process(old, link):
-            # Two dials overlapped, and requests may be on the older link.
+            # Two dials overlapped, and the older link may carry requests.
             link.close('duplicate')
             return
         self._links[link.peer.name] = link
@@ -378,9 +378,9 @@
             self._send(link, answer)
 
     def _send_rows(self, to: Iterable[links.Link]) -> None:
-        # Also when there is no row to send: the delta tells how old the rows
-        # are, and takes the agent's offset past records that touched none.
-        # Nearly all agents lack the same, which is encoded once.
+        # A delta is sent even without rows: it has the age of the rows, and
+        # advances the agent's offset past records that changed none. Nearly
+        # all agents lack the same rows, so each delta is encoded once.
         if self._table.offset() == tables.NO_OFFSET:
             return
         frames: dict[int, bytes] = {}
@@ -393,8 +393,8 @@
             self._send_frame(link, frames[sent])
 
     def _complete_members_frame(self) -> bytes:
-        # A megabyte on the largest site; made once for all who connect
-        # between two changes.
+        # A megabyte on the largest site; encoded once for all agents that
+        # connect between two changes.
         if self._complete_frame_members is not self.members:
             agents = list(instance_polling.agents_on_wire(self.members))
             message = messages.Members(agents, self._members_sent)
@@ -412,7 +412,7 @@
         try:
             link.send_frame(frame)
         except links.LinkError:
-            # The Closed event of this link is on its way.
+            # The Closed event of this link is already queued.
             pass
 
 
--- a/packages/burdockchute-entry/burdockchute_entry/subset_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/subset_task.py
@@ -1,8 +1,8 @@
 """The task that chooses which agents this entry links to.
 
-The choice takes about a second of work on the largest site. It is made in
-small parts beside the handling of requests, and only when something it rests
-on has changed.
+The choice takes about a second of processor time on the largest site. It is
+made in small steps, so that requests are handled meanwhile, and only when the
+members or the table have changed.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from burdockchute.model.table import EMPTY_TABLE
 from burdockchute.model.table import Table
 
-# About five milliseconds of work on the largest site, then as much time for
-# the rest of the process.
+# About 5 ms of work on the largest site, followed by as much time for the rest
+# of the process.
 AGENTS_PER_STEP = 25
 PAUSE_S = 0.005
 
 
 class SubsetTask:
-    """Owns the choice; `publish` gets the names when they change."""
+    """Owns the choice; `publish` gets the agents' names when it changes."""
 
     def __init__(
         self, own_name: str, publish: Callable[[frozenset[str]], None]
@@ -38,7 +38,7 @@
         self._publish = publish
 
     def run(self) -> None:
-        """Handle messages for ever."""
+        """Handle messages forever."""
         while True:
             self._apply(self.inbox.get())
             while not self.inbox.empty():
--- a/packages/burdockchute-entry/tests/test_links_subset.py
+++ b/packages/burdockchute-entry/tests/test_links_subset.py
@@ -1,4 +1,4 @@
-"""The links of an entry as the choice of its agents changes."""
+"""The links of an entry while the subset of its agents changes."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 
 
 class FakeList:
-    """The platform's list as a variable."""
+    """An instance list that the test sets."""
 
     def __init__(self) -> None:
         self.members: list[Member] = []
 
     def fetch(self) -> Any:
-        """Give the members."""
+        """Return the members."""
         return Success(self.members)
 
 
@@ -91,10 +91,10 @@
             while not condition():
                 gevent.sleep(0.01)
 
-    def test_links_follow_the_choice_and_cut_off_no_request(self):
-        # The fleet grows and an agent is no longer among those that this
-        # entry keeps links to, but a request of ours is still at it. Were
-        # the link closed, its caller would get half an answer.
+    def test_links_follow_the_subset_without_interrupting_requests(self):
+        # The fleet grows, and an agent that still runs a request of this
+        # entry is no longer in its subset. If the link were closed, the
+        # caller would get a partial answer.
         own = Member('e0', 'entry', '127.0.0.1', 1, PLACE)
         self.list.members = [own, *self.agents]
         names = {agent.name for agent in self.agents}
@@ -110,11 +110,11 @@
         self.list.members = [own, *self.agents]
         self.wait_for(lambda: self.linked() == names)
 
-    def test_links_stay_while_the_chosen_agents_can_not_be_reached(self):
-        """The choice moves to agents of a zone that has just failed.
+    def test_links_stay_while_the_chosen_agents_are_unreachable(self):
+        """The subset changes to agents of a zone that has just failed.
 
-        The list still names them. The links to agents that answer were
-        closed, and the entry had nobody left to run a request.
+        The instance list still names them. The links to working agents were
+        closed, and the entry had no instance left to run a request.
         """
         own = Member('e0', 'entry', '127.0.0.1', 1, PLACE)
         others = [own._replace(name=f'e{number}') for number in range(1, 10)]
@@ -139,13 +139,13 @@
 
 class OverlappingDialsTest(unittest.TestCase):
     def test_a_second_link_to_an_agent_does_not_end_the_first(self):
-        """An agent takes longer to greet than a dial is waited for.
+        """The handshake of an agent takes longer than the timeout of a dial.
 
-        The entry dialled again, and closed the first link with the requests
-        on it when the second one opened.
+        The entry dialled again. When the second link opened, it closed the
+        first one, which already carried requests.
         """
         opened: list[links.Link] = []
-        slow = SlowGreeter()
+        slow = SlowHandshake()
         self.addCleanup(slow.stop)
         agents = FakeList()
         agents.members = [Member('a0', 'agent', '127.0.0.1', slow.port, PLACE)]
@@ -172,19 +172,19 @@
         running = gevent.spawn(task.run)
         self.addCleanup(running.kill)
         with gevent.Timeout(WITHIN_S):
-            while slow.greeted < 2:
+            while slow.handshakes < 2:
                 gevent.sleep(0.01)
         gevent.sleep(0.2)
         self.assertEqual('', opened[0].closed_reason)
         self.assertEqual([opened[0]], task.agent_links())
 
 
-class SlowGreeter:
-    """An agent that greets in two parts, each of them within the bound."""
+class SlowHandshake:
+    """An agent that sends its Hello in two parts, each within the timeout."""
 
     def __init__(self) -> None:
-        self.greeted = 0
-        self._server = server.StreamServer(('127.0.0.1', 0), self._greet)
+        self.handshakes = 0
+        self._server = server.StreamServer(('127.0.0.1', 0), self._shake_hands)
         self._server.start()
 
     @property
@@ -194,18 +194,18 @@
     def stop(self) -> None:
         self._server.stop(timeout=0)
 
-    def _greet(self, sock: Any, _address: Any) -> None:
+    def _shake_hands(self, sock: Any, _address: Any) -> None:
         frame = links.encode_frame(hello('a0', 'agent'))
         for part in (frame[:2], frame[2:]):
             gevent.sleep(0.8 * links.DIAL_TIMEOUT_S)
             sock.sendall(part)
-        self.greeted += 1
+        self.handshakes += 1
         while sock.recv(4096):
             pass
 
 
 class SubsetTaskTest(unittest.TestCase):
-    def test_choice_is_published_when_it_changes(self):
+    def test_subset_is_published_when_it_changes(self):
         published: list[frozenset[str]] = []
         task = subset_task.SubsetTask('entry-0', published.append)
         running = gevent.spawn(task.run)
