--- a/packages/burdockchute-entry/burdockchute_entry/table_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/table_task.py
@@ -1,11 +1,11 @@
 """The task that follows the table's stream in the log.
 
-It starts from the newest snapshot, reads on with long polls, publishes each
-new table and writes snapshots when they are due. While the log is away it
-keeps the table that it has and says how old that is; it then asks peers,
-since one of them may still reach the log or may have read further.
+It starts from the newest snapshot, reads the following records with long
+polls, publishes each new table and writes snapshots when they are due. While
+the log is unavailable it keeps its table and reports the age of it. It then
+asks peers, since one of them may still reach the log or may have read further.
 
-The table moves only to higher offsets, whoever it comes from.
+The table only moves to higher offsets, from the log and from peers alike.
 """
 
 from __future__ import annotations
@@ -37,23 +37,23 @@
 from burdockchute.platform.log import Trimmed
 from burdockchute.wire import messages
 
-# 360 entries make 180 reads a second of an idle log. As an answer counts from
-# when it was asked for, the age of a table that is up to date goes up to twice
-# this much.
+# Timeout of a long poll. 360 entries make 180 reads per second of an idle log.
+# As the age is counted from the time of the request, an up-to-date table
+# reaches an age of up to twice this timeout.
 POLL_TIMEOUT_S = 2.0
 
 RETRY_MIN_S = 0.2
 RETRY_MAX_S = 2.0
 
-# A second over the age that is usual; below that, a slow reply would set all
-# entries asking each other. With the answer it stays well within the 8 s in
-# which an edit has to be in force.
+# One second above the usual maximum age; with less, a slow reply would make
+# all entries ask each other. Including the answer, it stays well within the
+# 8 s in which an edit has to take effect.
 ASK_PEERS_AGE_S = 2 * POLL_TIMEOUT_S + 1.0
 ASK_PEERS_INTERVAL_S = 1.0
 WATCH_INTERVAL_S = 0.25
 
-# How long a fresh process waits for further peers after the first has
-# answered, so that it does not begin with the oldest table among them.
+# How long a new process waits for tables of further peers after the first, so
+# that it does not start with the oldest of them.
 PEER_TABLES_WAIT_S = 0.5
 
 MAX_AGE_MS = 2**31 - 1
@@ -68,11 +68,11 @@
 
 
 class TableStatus(NamedTuple):
-    """What the status page says of the table.
+    """The state of the table on the status page.
 
-    `age_s` is the time since the table was known to be the newest; while it
-    grows, the log can't be read; None before there is one. `log` is 'up' or
-    the last error.
+    `age_s` is the time since the table was last known to be the newest, None
+    before there is one; while it grows, the log cannot be read. `log` is 'up'
+    or the last error.
     """
 
     offset: int
@@ -87,9 +87,9 @@
 class TableTask:
     """Owner of this entry's table; `run` is its greenlet.
 
-    `publish` is called with each new table, never an older one. `ask_peers`
-    is called with the offset held when peers should be asked by
-    TableRequest; their answers go to `apply_peer_table`. Times are seconds of
+    `publish` is called with each new table, never with an older one.
+    `ask_peers` is called with the current offset when a TableRequest should be
+    sent to peers; their answers go to `apply_peer_table`. Times are seconds of
     `clock`.
     """
 
@@ -126,7 +126,7 @@
         self._snapshot_writer: gevent.Greenlet | None = None
 
     def run(self) -> None:
-        """Follow the log for ever; runs as a greenlet."""
+        """Follow the log forever; runs as a greenlet."""
         _register_gauges(self)
         gevent.spawn(self._watch, gevent.getcurrent())
         self._load_until_done()
@@ -144,11 +144,11 @@
                 self._on_batch(read.unwrap(), sent_at)
 
     def age_s(self) -> float:
-        """Give how long ago the table was known to be the newest."""
+        """Return how long ago the table was last known to be the newest."""
         return self._clock() - self._confirmed_at
 
     def status(self) -> TableStatus:
-        """Describe the table for the status page."""
+        """Return the state of the table for the status page."""
         return TableStatus(
             self.table.offset,
             len(self.table.rows),
@@ -160,11 +160,14 @@
         )
 
     def delta_for(self, offset: int) -> messages.TableDelta:
-        """Give what an agent at `offset` lacks, with our age."""
+        """Return the rows that an agent at `offset` lacks, with their age."""
         return self._with_age(self.changes.since(offset, self.table))
 
     def answer(self, known_offset: int) -> messages.TableDelta | None:
-        """Answer the TableRequest of a peer entry, None for nothing new."""
+        """Answer the TableRequest of a peer entry.
+
+        None if the peer is ahead, or while this entry has no table.
+        """
         if not self.ready.is_set() or known_offset > self.table.offset:
             return None
         if known_offset == self.table.offset:
@@ -173,7 +176,7 @@
         return self._with_age(deltas.full_table(self.table, with_seen=True))
 
     def apply_peer_table(self, delta: messages.TableDelta) -> None:
-        """Take a peer entry's answer; only ever moves forward."""
+        """Apply the answer of a peer entry, unless its table is older."""
         now = self._clock()
         confirmed_at = now - (delta.age_ms or 0) / 1000
         if self.ready.is_set() and delta.to_offset == self.table.offset:
@@ -195,8 +198,8 @@
         self._peer_confirmed_at = confirmed_at
 
     def _watch(self, follower: gevent.Greenlet) -> None:
-        # A connection to the log can go silent, and a read then takes its
-        # whole timeout; peers must be asked before that.
+        # If a connection to the log goes silent, a read takes its full
+        # timeout; peers must be asked before that.
         while not follower.dead:
             self._ask_peers_if_needed()
             gevent.sleep(WATCH_INTERVAL_S)
@@ -245,8 +248,8 @@
             return
         table = self._peer_table.table
         self._peer_table = None
-        # Nothing is known of the snapshots in the log; any that has rows
-        # counts as newer than this.
+        # Nothing is known about the snapshots in the log; any snapshot with
+        # rows counts as newer than this.
         self._snapshots = snapshots.initial_state(
             0, 0, self._clock(), self._retention_s, self._rng
         )
@@ -272,8 +275,9 @@
         reduced = reducer.apply_all(old, batch.records)
         self._record_findings(reduced.findings)
         self._update_snapshots(batch)
-        # The answer may be old by the time it is read, if this process was
-        # paused in between; the time of asking is what it is good for.
+        # The answer may be old when it is processed, if this process was
+        # paused meanwhile; it only proves the state at the time of sending
+        # the request.
         if table_log.reached_end(len(batch.records)):
             self._confirmed_at = max(self._confirmed_at, sent_at)
         if reduced.table.offset > old.offset:
@@ -289,19 +293,20 @@
         self._write_snapshot_if_due()
 
     def _check_recovered_log(self) -> bool:
-        """Check a log that answers again; False if it lacks what we read.
+        """Whether a log that answers again has all records read from it.
 
-        A log that was restored from an older copy gives offsets out a second
-        time. A reader ahead of it would see nothing new and hold itself for
-        up to date; the age that then grows shows it instead.
+        A log restored from an older copy assigns offsets a second time. A
+        reader ahead of it would see nothing new and consider itself up to
+        date. Such a log is treated as unavailable, so that the growing age
+        shows the fault.
         """
-        asked = self._log.extent(table_log.STREAM)
-        if isinstance(asked, Failure):
-            self._log_failed(asked.failure())
+        extent = self._log.extent(table_log.STREAM)
+        if isinstance(extent, Failure):
+            self._log_failed(extent.failure())
             self._back_off()
             return False
-        if asked.unwrap().next_offset <= self.table.offset:
-            self._log_failed(WentBack(asked.unwrap().next_offset))
+        if extent.unwrap().next_offset <= self.table.offset:
+            self._log_failed(WentBack(extent.unwrap().next_offset))
             self._back_off()
             return False
         self._log_state = LOG_UP
@@ -311,8 +316,8 @@
 
     def _on_error(self, error: LogError) -> None:
         if isinstance(error, Trimmed):
-            # Retention has passed what we were about to read, so rows that
-            # were edited meanwhile are only found in a snapshot.
+            # The next records to read have passed their retention, so rows
+            # edited meanwhile are only found in a snapshot.
             logs.warn(
                 'table_trimmed',
                 held=self.table.offset,
@@ -370,7 +375,7 @@
             return
         now = self._clock()
         if snapshots.is_due(self._snapshots, self.table.offset, now):
-            # Its own greenlet, since a large append must not hold up the
+            # In its own greenlet, since a large append must not delay the
             # reading of edits.
             self._snapshot_writer = gevent.spawn(
                 self._write_snapshot, self.table
@@ -385,7 +390,7 @@
                 as_of=table.offset,
                 error=repr(appended.failure()),
             )
-            # If it did take effect, it will be read and count then.
+            # If the append did take effect, it counts once it is read.
             self._snapshots = snapshots.on_failure(
                 self._snapshots, self._clock(), self._rng
             )
--- a/packages/burdockchute-entry/tests/test_table_task.py
+++ b/packages/burdockchute-entry/tests/test_table_task.py
@@ -1,4 +1,4 @@
-"""The task that follows the table, over a log in memory."""
+"""The task that follows the table, with a log in memory."""
 
 from __future__ import annotations
 
@@ -63,8 +63,8 @@
         self.assertLess(task.age_s(), 1)
 
     def test_outage_while_running(self):
-        # The log goes away for a while. The table stays in force and the
-        # status says how old it is; an edit made right after is taken.
+        # The log is unavailable for a while. The table stays in effect and
+        # the status shows its age; an edit made right afterwards is applied.
         self.edit(tables.model())
         task, published = self.task()
         self.wait_for(task.ready.is_set)
@@ -81,9 +81,9 @@
     @mock.patch.object(table_task, 'PEER_TABLES_WAIT_S', 10)
     @mock.patch.object(table_task, 'RETRY_MAX_S', 0.2)
     def test_start_in_an_outage_takes_the_highest_table_of_its_peers(self):
-        # A fresh entry has nothing. Were it ready with no table, it would
-        # refuse every caller; with the oldest of its peers' tables, it
-        # would take a change back that callers have already seen.
+        # A new entry has no table. If it were ready without one, it would
+        # refuse every request; with the oldest of its peers' tables, it would
+        # revert a change that callers have already seen.
         self.log.down = True
         peers = [tables.table_of(tables.model())]
         peers.append(tables.table_of(tables.model(), tables.service()))
@@ -103,7 +103,7 @@
         self.assertEqual(-1, asked[0])
         self.assertGreaterEqual(task.age_s(), 9)
 
-    def test_table_of_a_peer_goes_on_with_the_log(self):
+    def test_table_of_a_peer_is_continued_from_the_log(self):
         text = tables.record('a', tables.edit(tables.model()))
         table = reducer.apply_record(EMPTY_TABLE, 0, text)[0]
         self.log.append('table', text).unwrap()
@@ -112,7 +112,7 @@
         task.apply_peer_table(over_the_wire(table))
         self.wait_for(task.ready.is_set)
         self.log.down = False
-        # A second copy must still be known as such.
+        # A duplicate record must still be recognized.
         self.log.append('table', text).unwrap()
         self.edit(tables.service())
         self.wait_for(lambda: task.table.offset == 2)
@@ -120,8 +120,8 @@
         self.assertIn('second copy', task.status().findings[0].text)
 
     def test_cut_off_from_the_log_but_not_from_peers(self):
-        # One region loses the log while others still read it. Its entries
-        # would serve the old version until the regions meet again.
+        # One region cannot read the log while others can. Without peers, its
+        # entries would serve the old version until the partition ends.
         self.edit(tables.model())
         asked = []
         task, published = self.task(ask_peers=asked.append)
@@ -135,8 +135,8 @@
         self.assertLess(task.age_s(), 1)
 
     def test_connection_to_the_log_goes_silent(self):
-        # The log's answers stop without an error. An edit of that moment
-        # is in force elsewhere; peers are asked long before the read ends.
+        # The log stops answering without an error. An edit made then is in
+        # effect elsewhere; peers are asked long before the read times out.
         self.edit(tables.model())
         asked = []
         task, published = self.task(ask_peers=asked.append)
@@ -150,11 +150,11 @@
         task.apply_peer_table(over_the_wire(newer))
         self.assertEqual(newer, published[-1])
 
-    def test_idle_log_sets_no_entry_asking(self):
-        # Nobody edits for hours. An answer counts from when it was asked
-        # for, so just before the next one the age is that of two polls;
-        # were peers asked at that age, all entries would ask each other in
-        # every quiet moment.
+    def test_idle_log_makes_no_entry_ask_peers(self):
+        # There are no edits for hours. The age is counted from the time of
+        # the request, so just before the next answer it is that of two polls.
+        # If peers were asked at that age, all entries would ask each other
+        # whenever the log is idle.
         asked = []
         self.edit(tables.model())
         task, _published = self.task(ask_peers=asked.append)
@@ -169,10 +169,10 @@
             with self.subTest(age_s):
                 self.assertEqual(is_asking, bool(asked))
 
-    def test_paused_and_resumed_is_not_taken_for_new(self):
-        # The process is stopped while it waits for an answer of the log and
-        # goes on an hour later; the answer it then reads is an hour old.
-        # Its rows must be called old until the log has been asked again.
+    def test_answer_read_after_a_pause_does_not_count_as_new(self):
+        # The process is paused while it waits for an answer of the log and
+        # resumes an hour later; the answer that it then reads is an hour old.
+        # Its rows must be reported as old until the log has been read again.
         self.edit(tables.model())
         task, _published = self.task()
         self.wait_for(task.ready.is_set)
@@ -192,9 +192,9 @@
         self.assertGreaterEqual(ages[0], 3_500_000)
         self.wait_for(lambda: task.age_s() < 1)
 
-    def test_resumed_process_does_not_hand_out_older_rows_as_new(self):
-        # Others have moved on while it was stopped. What it sends must not
-        # take them back, and what they send must move it on.
+    def test_resumed_process_does_not_send_older_rows_as_new(self):
+        # Other processes have newer rows after the pause. What this one sends
+        # must not revert them, and it must accept what they send.
         older = tables.table_of(tables.model())
         newer = tables.table_of(tables.model(), tables.service())
         self.edit(tables.model())
@@ -206,7 +206,7 @@
         self.assertEqual(newer, applied.table)
         self.assertIsNone(task.answer(newer.offset))
 
-    def test_retention_passes_a_stopped_reader(self):
+    def test_paused_reader_falls_behind_the_retention(self):
         self.edit(tables.model())
         task, published = self.task()
         self.wait_for(task.ready.is_set)
@@ -228,10 +228,10 @@
         self.assertEqual(table.rows, task.table.rows)
         self.assertEqual(table.rows, published[-1].rows)
 
-    def test_log_that_was_put_back_to_an_older_copy(self):
-        # The offsets that are then given out a second time lie below what
-        # was read; without a check the process would call itself up to date
-        # and see none of the edits.
+    def test_log_restored_from_an_older_copy(self):
+        # The offsets that are then assigned a second time are lower than those
+        # already read. Without a check, the process would consider itself up
+        # to date and see none of the edits.
         for number in range(3):
             self.edit(tables.service(f's{number}'))
         task, _published = self.task()
