--- a/packages/burdockchute-entry/tests/test_load.py
+++ b/packages/burdockchute-entry/tests/test_load.py
@@ -1,7 +1,7 @@
-"""What callers get under patterns of load.
+"""The router's answers under patterns of load.
 
-Each test plays one pattern through the router in a time of its own, so the
-figures are the same in every run.
+Each test simulates one pattern with its own clock, so that the figures are
+the same in every run.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 UNIT_S = 0.01
 
-# Sixteen tokens and one prompt of as many cost 17.8 units.
+# A prompt of 16 tokens and 16 generated tokens cost 17.8 units.
 SERVICE_S = 0.178
 
 OPEN_LIMITS = {'requests_per_s': 1e6, 'tokens_per_s': 1e9}
@@ -41,14 +41,14 @@
 
 class LoadTest(unittest.TestCase):
     def test_saturation_keeps_goodput(self):
-        # Three times as much comes in as can be done. If all were let in,
-        # each would wait until its deadline and nearly all work would be
-        # for answers that come too late.
+        # Three times the capacity arrives. If all requests were admitted, each
+        # would wait until its deadline, and nearly all work would be for
+        # answers that are too late.
         peak = max(goodput(share) for share in (0.5, 0.9, 1.0, 1.5))
         self.assertGreater(goodput(3.0), 0.9 * peak)
         self.assertGreater(peak, 0.9 * 8 / SERVICE_S)
 
-    def test_what_is_refused_hears_so_at_once(self):
+    def test_refusals_are_immediate(self):
         run = play.Play(TABLE)
         run.upstream('a', 4, UNIT_S)
         steady(run, 100, 10, deadline=2.0)
@@ -64,8 +64,8 @@
         self.assertLess(play.quantile(waits, 0.5), 0.01)
 
     def test_burst_is_worked_off(self):
-        # A class of forty presses the button together. There is time
-        # enough for all, so nobody is refused.
+        # 40 callers send a request at once. There is enough time for all, so
+        # none is refused.
         run = play.Play(TABLE)
         for name in 'ab':
             run.upstream(name, 4, UNIT_S)
@@ -77,9 +77,9 @@
         self.assertLess(got.p95_s, 40 / 8 * SERVICE_S * 1.5)
 
     def test_flood_of_one_customer_leaves_the_others_alone(self):
-        # A script of one customer sends ten times what the instances can
-        # do; a teacher of another customer goes on as before.
-        def teacher(flood_per_s):
+        # One customer sends ten times what the instances can do; the requests
+        # of another customer must be answered as before.
+        def other_customer(flood_per_s):
             run = play.Play(TABLE)
             for name in 'ab':
                 run.upstream(name, 4, UNIT_S)
@@ -90,7 +90,7 @@
                 run.bench.finished, lambda ctx: ctx.customer == 'sahyog'
             )
 
-        quiet, beside = teacher(0), teacher(450)
+        quiet, beside = other_customer(0), other_customer(450)
         self.assertEqual(quiet.answered, beside.answered)
         # One request has to end before a slot is free.
         self.assertLess(beside.p95_s, quiet.p95_s + SERVICE_S)
@@ -105,9 +105,9 @@
         self.assertLessEqual(got.answered, 10 * 10 + 20)
         self.assertGreaterEqual(got.answered, 10 * 10)
 
-    def test_slow_upstream_gets_little(self):
-        # One donated machine is ten times slower than the rest. Given its
-        # even part it would make every fourth answer late.
+    def test_slow_upstream_gets_few_requests(self):
+        # One instance is ten times slower than the others. With an equal
+        # share of the requests, every fourth answer would be late.
         run = play.Play(TABLE)
         for name in 'abc':
             run.upstream(name, 4, UNIT_S)
@@ -119,7 +119,7 @@
         self.assertLess(slow.done, 0.05 * got.sent)
         self.assertLess(got.p95_s, 2 * SERVICE_S)
 
-    def test_upstream_that_turns_slow_is_left_and_found_again(self):
+    def test_upstream_that_turns_slow_is_avoided_and_used_again(self):
         run = play.Play(TABLE)
         turning = run.upstream('turning', 4, UNIT_S)
         run.upstream('steady', 4, UNIT_S)
@@ -135,7 +135,7 @@
         self.assertLess(meanwhile, 0.25 * 15 * 20)
         self.assertGreater(after, 0.25 * 15 * 50)
 
-    def test_upstream_that_comes_takes_its_part(self):
+    def test_new_upstream_takes_its_share(self):
         run = play.Play(TABLE)
         run.upstream('a', 4, UNIT_S)
         steady(run, 30, 30, deadline=2.0)
@@ -151,9 +151,9 @@
         self.assertGreater(late.done, 200)
 
     def test_long_work_leaves_slots_for_short(self):
-        # A mail merge of thousand-word letters comes in. Without a bound
-        # it takes every slot, and a rhyme waits ten seconds for one.
-        def rhyme(long_share):
+        # A batch of requests for 1000 tokens each arrives. Without a limit it
+        # takes every slot, and a short request waits ten seconds for one.
+        def short_requests(long_share):
             row = requests.STORY._replace(long_share=long_share)
             run = play.Play(requests.table_of(row, LINDWURM, SAHYOG))
             for name in 'ab':
@@ -172,10 +172,10 @@
                 run.bench.finished, lambda ctx: ctx.max_tokens < 1000
             )
 
-        self.assertLess(rhyme(0.5).p95_s, 2 * SERVICE_S)
-        self.assertGreater(rhyme(1.0).p95_s, 2.0)
+        self.assertLess(short_requests(0.5).p95_s, 2 * SERVICE_S)
+        self.assertGreater(short_requests(1.0).p95_s, 2.0)
 
-    def test_higher_priority_goes_first_and_starves_nobody(self):
+    def test_higher_priority_goes_first_and_starves_no_customer(self):
         run = play.Play(TABLE)
         run.upstream('a', 4, UNIT_S)
         steady(run, 24, 30, priority=0, deadline=20.0)
@@ -187,8 +187,8 @@
         self.assertLess(high.p50_s, low.p50_s)
 
     def test_outage_does_not_multiply_the_load(self):
-        # Every second the instance breaks off what it runs and comes back.
-        # Each request would be retried until its deadline.
+        # Every 0.3 s the instance drops its requests and restarts. Without a
+        # retry budget each request would be retried until its deadline.
         run = play.Play(TABLE)
         current = [run.upstream('a', 8, UNIT_S)]
 
@@ -205,9 +205,9 @@
         self.assertGreater(again, 10)
         self.assertLessEqual(again, 0.1 * len(first))
 
-    def test_keys_that_most_ask_for_stay_warm_without_a_hot_spot(self):
-        # Nine of ten prompts start with the same long text. All on the one
-        # instance that holds it would leave the others idle.
+    def test_popular_prefixes_stay_cached_without_a_hot_spot(self):
+        # All prompts start with the same long text. If all went to the one
+        # instance that has it cached, the others would be idle.
         run = play.Play(TABLE)
         hosts = [run.upstream(name, 4, UNIT_S) for name in 'abcd']
         prefixes = tuple(f'p{n}' for n in range(30))
