--- a/packages/burdockchute-entry/burdockchute_entry/__init__.py
+++ b/packages/burdockchute-entry/burdockchute_entry/__init__.py
@@ -1,3 +1,3 @@
-"""The entry process: takes the requests of callers."""
+"""The entry process: receives requests and places them on instances."""
 
 from __future__ import annotations
--- a/packages/burdockchute-entry/burdockchute_entry/app.py
+++ b/packages/burdockchute-entry/burdockchute_entry/app.py
@@ -1,4 +1,4 @@
-"""Wiring of the entry's tasks."""
+"""Wires the tasks of an entry to each other, and runs them until shutdown."""
 
 from __future__ import annotations
 
@@ -39,20 +39,20 @@
 from burdockchute_entry.settings import Settings
 from burdockchute_entry.table_task import TableTask
 
-# The balancer in front learns from /readyz that this entry leaves. Until it
-# has looked again, new requests still arrive and are refused as not run.
+# The load balancer sees from /readyz that this entry is shutting down. Until
+# its next probe, new requests still arrive and are refused as not run.
 LEAVING_NOTICE_S = 1.0
 
-# Longest wait for the last releases and outcomes to be in the log.
+# Maximum wait until the last releases and outcomes are in the log.
 CLAIMS_SETTLE_S = 3.0
 
-# Each of the 16 streams of claims is read by a request that stays open, and
-# appended to beside that.
+# Each of the 16 claim streams may need two connections at once: one for its
+# long poll and one for appends.
 CLAIM_CONNECTIONS = 40
 
 
 class App:
-    """One running entry."""
+    """One entry process with all of its tasks."""
 
     def __init__(self, cfg: Settings) -> None:
         self.cfg = cfg
@@ -109,18 +109,18 @@
         )
 
     def table(self) -> Table:
-        """Give the table in force here."""
+        """Return the table that is in effect here."""
         return self.table_task.table
 
     def _delta_for_agent(self, offset: int) -> messages.TableDelta:
         return deltas.filter_for_agents(self.table_task.delta_for(offset))
 
     def table_offset(self) -> int:
-        """Give the highest offset applied."""
+        """Return the highest offset applied."""
         return self.table_task.table.offset
 
     def serve(self) -> int:
-        """Run until a signal asks to stop; give the exit status."""
+        """Run until a signal asks to stop; return the exit status."""
         self.lifecycle.start()
         link_server = links.listen(
             self.cfg.address,
@@ -148,7 +148,7 @@
         return self._shut_down(callers, callers_app)
 
     def status(self) -> dict[str, Any]:
-        """Give what this process holds and does."""
+        """Return the status document of this process."""
         return {
             **self.lifecycle.status(),
             'leaving': self.leaving,
@@ -233,8 +233,9 @@
         return http_admin.Readiness(True, '')
 
     def _shut_down(self, callers: Any, callers_app: server.CountedApp) -> int:
-        # Requests that were accepted are finished; new connections are still
-        # taken for a moment and told that nothing was run.
+        # Accepted requests are finished. New connections are still accepted
+        # until the load balancer has noticed; their requests are refused as
+        # not run.
         logs.event('leaving', in_flight=self.router.open_requests())
         self.leaving = True
         drain_until = time.monotonic() + self.cfg.drain_s
@@ -243,8 +244,9 @@
         while self.router.open_requests() and time.monotonic() < drain_until:
             gevent.sleep(0.02)
         unfinished = self.router.open_requests()
-        # Without its outcome in the log a resend would hear only that it is
-        # not known; the log may be away, so the wait is short.
+        # Without its outcome in the log, a resent request would only be
+        # answered that its outcome is unknown. The wait is short since the
+        # log may be unavailable.
         settle_until = time.monotonic() + CLAIMS_SETTLE_S
         while not self.claims_task.settled():
             if time.monotonic() > settle_until:
--- a/packages/burdockchute-entry/burdockchute_entry/main.py
+++ b/packages/burdockchute-entry/burdockchute_entry/main.py
@@ -23,7 +23,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run one command and give its exit status."""
+    """Run one command and return its exit status."""
     args = _parser().parse_args(argv)
     commands_by_name: dict[str, Callable[[], int]] = {
         'serve': lambda: _serve(args),
@@ -46,7 +46,7 @@
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog='burdockchute-entry',
-        description='Takes the requests of callers and decides where they '
+        description='Receives requests of callers and decides where they '
         'run; edits and shows the table.',
     )
     parser.add_argument(
--- a/packages/burdockchute-entry/burdockchute_entry/request_metrics.py
+++ b/packages/burdockchute-entry/burdockchute_entry/request_metrics.py
@@ -1,4 +1,4 @@
-"""Counts each finished request against the objectives that cover it."""
+"""Metrics of finished requests, and their counts against objectives."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 ANY = '*'
 
-# A caller's own mistake or flood is not the system's failure.
+# Errors and rate limits caused by a caller do not count against objectives.
 CALLER_ERROR_STATUSES = range(400, 500)
 
 
 class RequestMetrics:
-    """What this entry has counted since it started."""
+    """Records finished requests since the start of this entry."""
 
     def __init__(self, table: Callable[[], Table]) -> None:
         self._table = table
@@ -43,7 +43,7 @@
         )
 
     def record_finished(self, done: RequestSummary) -> None:
-        """Count one request."""
+        """Record one finished request."""
         ctx = done.ctx
         outcome = name_of(done.outcome)
         attributes = {'customer': ctx.customer, 'target': ctx.target}
@@ -58,7 +58,7 @@
                 self._count(objective, done, time.time())
 
     def burn_counts(self) -> list[reports.PageEntry]:
-        """Give what the burn report adds up."""
+        """Return the counts that the burn report sums over entries."""
         return reports.burn_page(self._counts, time.time(), self._targets)
 
     def _count(
@@ -73,7 +73,7 @@
 
 
 def covers(objective: ObjectiveRow, done: RequestSummary) -> bool:
-    """Tell whether the objective speaks of this request."""
+    """Whether an objective applies to a request."""
     customers = (ANY, done.ctx.customer)
     models = (ANY, done.ctx.target)
     if objective.customer not in customers or objective.model not in models:
@@ -84,7 +84,7 @@
 def evaluate(
     objective: ObjectiveRow, done: RequestSummary
 ) -> list[tuple[str, float, bool]]:
-    """Give (indicator, target, whether bad) for what can be judged."""
+    """Return (indicator, target, whether missed) for each indicator."""
     answered = isinstance(done.outcome, Answered)
     found = [('availability', objective.availability, not answered)]
     if done.ctx.stream and done.first_part_s is not None:
@@ -98,7 +98,7 @@
 
 
 def mean_interval(done: RequestSummary) -> float | None:
-    """Give the mean time between parts of a streamed answer in seconds."""
+    """Return the mean time between parts of a streamed answer in seconds."""
     if not done.ctx.stream or done.first_part_s is None or done.parts < 2:
         return None
     return (done.total_s - done.first_part_s) / (done.parts - 1)
--- a/packages/burdockchute-entry/burdockchute_entry/settings.py
+++ b/packages/burdockchute-entry/burdockchute_entry/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the entry."""
+"""Settings of an entry."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Settings(NamedTuple):
-    """Checked settings; times are seconds, sizes are bytes."""
+    """Validated settings; times are in seconds, sizes in bytes."""
 
     name: str
     zone: str
@@ -57,5 +57,5 @@
 
 
 def from_values(values: dict[str, Any]) -> Settings:
-    """Give the settings from parsed values."""
+    """Return the settings from parsed values."""
     return Settings(**values)
