--- a/packages/burdockchute/burdockchute/nodes/agents.py
+++ b/packages/burdockchute/burdockchute/nodes/agents.py
@@ -1,4 +1,4 @@
-"""The agents beside the upstreams that the platform's list names."""
+"""The agents colocated with the upstreams on the platform's list."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 def colocated_agent(
     upstream: Upstream, link_port: int, regions: Mapping[str, str]
 ) -> Member:
-    """Give the agent of an upstream, which goes by the upstream's address.
+    """Return the agent of an upstream, named by the upstream's address.
 
-    It stands on the same machine and takes links at a port that is the same
-    everywhere. `regions` gives the region of each availability zone; one that
-    it lacks is in none.
+    It runs on the same machine and listens for links on the same port as all
+    other agents. `regions` maps availability zones to regions; a zone that is
+    missing there has no region.
     """
     return Member(
         str(upstream.endpoint),
--- a/packages/burdockchute/burdockchute/nodes/desired_state.py
+++ b/packages/burdockchute/burdockchute/nodes/desired_state.py
@@ -1,15 +1,15 @@
-"""What operators want, as entries and agents tell each other of it.
-
-Load: an operator names a version while configurations of a thousand routes
-are saved in a storm. Were each agent to read the wishes, every save would
-cross the links between regions once for each of them, and a configuration of
-400 KB takes 0.7 s of a link of 4.7 Mbit/s: copies, answers and the stops of
-requests on replaced weights would stand behind it. Entries need the routes
-and follow closely; an agent only needs to know the versions, the models of
-its service and where their weights come from, and hears of those from every
-entry it is linked to.
-
-Ages are told and not times, as clocks differ.
+"""Encodes the desired state that entries and agents report to each other.
+
+Operators may name a version while configurations of a thousand routes are
+saved in quick succession. If each agent read the desired state itself, every
+save would cross the links between regions once per agent, and a configuration
+of 400 KB takes 0.7 s of a link of 4.7 Mbit/s: copies, answers and the
+cancellations of requests on replaced weights would queue behind it. Entries
+need the routes, and follow the store closely. An agent only needs the
+versions, the models of its service and the origin of their weights, and
+receives those from every entry that it is linked to.
+
+Messages hold ages instead of times, since clocks differ.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 from burdockchute.model.known_state import PeerReport
 from burdockchute.wire import messages
 
-UNKNOWN = -1
+UNKNOWN_AGE_MS = -1
 
 
 def encode_versions(
     histories: Mapping[str, History], now: float
 ) -> list[messages.NamedVersion]:
-    """Give what to tell of the versions that were named.
+    """Return the versions that operators have named, as sent to peers.
 
     >>> from burdockchute.decisions import versions
     >>> history = versions.add_version(versions.History(), 3, 97.5)
@@ -39,7 +39,9 @@
         messages.NamedVersion(
             model,
             named.version,
-            UNKNOWN if named.at is None else int((now - named.at) * 1000),
+            UNKNOWN_AGE_MS
+            if named.at is None
+            else int((now - named.at) * 1000),
         )
         for model, history in histories.items()
         for named in history.named
@@ -47,41 +49,49 @@
 
 
 def decode_versions(
-    news: Sequence[messages.NamedVersion], now: float
+    versions: Sequence[messages.NamedVersion], now: float
 ) -> list[PeerReport]:
-    """Give what was told, in this process's own time."""
+    """Return the reported versions, with times of this process's clock."""
     return [
         PeerReport(
             item.model,
             item.version,
-            None if item.age_ms == UNKNOWN else now - item.age_ms / 1000,
+            None
+            if item.age_ms == UNKNOWN_AGE_MS
+            else now - item.age_ms / 1000,
         )
-        for item in news
+        for item in versions
     ]
 
 
 def encode_requirements(
-    needs: AgentRequirements | None,
+    requirements: AgentRequirements | None,
 ) -> messages.AgentNeeds | None:
-    """Give what to tell of an agent's needs.
+    """Return the requirements of an agent, as sent to it.
 
     >>> requirements = AgentRequirements(7, ('story',), 4, '10.0.0.1:80')
     >>> encode_requirements(requirements).models
     ['story']
     """
-    if needs is None:
+    if requirements is None:
         return None
     return messages.AgentNeeds(
-        needs.configuration, list(needs.models), needs.slots, needs.origin
+        requirements.configuration,
+        list(requirements.models),
+        requirements.slots,
+        requirements.origin,
     )
 
 
 def decode_requirements(
-    news: messages.AgentNeeds | None,
+    message: messages.AgentNeeds | None,
 ) -> AgentRequirements | None:
-    """Give the needs that were told, None where the other knows none."""
-    if news is None:
+    """Return the reported requirements, None where the peer knows none."""
+    if message is None:
         return None
     return AgentRequirements(
-        news.configuration, tuple(news.models), news.slots, news.origin
+        message.configuration,
+        tuple(message.models),
+        message.slots,
+        message.origin,
     )
