--- a/packages/burdockchute/burdockchute/nodes/peers.py
+++ b/packages/burdockchute/burdockchute/nodes/peers.py
@@ -1,4 +1,8 @@
-"""Links to agents that a process wants to have, dialled until they are."""
+"""Keeps a link open to each agent that a process wants to be linked to.
+
+Failed dials are repeated with a growing delay. Of two links to the same
+process one is closed.
+"""
 
 from __future__ import annotations
 
@@ -19,20 +23,20 @@
 
 MIN_REDIAL_S = 0.25
 MAX_REDIAL_S = 5.0
-# News of weights that this instance doesn't host yet is kept, as a table may
-# reach a peer first; for so many digests of each peer.
+# Announcements of weights that this instance doesn't host yet are kept, since
+# a peer may receive the table earlier. The limit counts digests per peer.
 MAX_KEPT_HAVES = 16
 
 
 class DialResult(NamedTuple):
-    """An attempt to open a link to a peer has ended."""
+    """The result of a dial to a peer; `link` is None if it failed."""
 
     name: str
     link: links.Link | None
 
 
 class PeerLink:
-    """One open link and what came on it about weights."""
+    """One open link and the weights that its peer has announced."""
 
     def __init__(self, link: links.Link, own: Place) -> None:
         self.link = link
@@ -50,14 +54,14 @@
         return True
 
     def record_have(self, have: messages.Have) -> None:
-        """Remember the newest news of a digest."""
+        """Keep the newest announcement of a digest."""
         self.haves.pop(have.digest, None)
         self.haves[have.digest] = have
         while len(self.haves) > MAX_KEPT_HAVES:
             self.haves.popitem(last=False)
 
 
-class _Redial:
+class _DialState:
     def __init__(self) -> None:
         self.dialling = False
         self.failures = 0
@@ -65,7 +69,7 @@
 
 
 class Peers:
-    """Dials the wanted peers and keeps one link to each."""
+    """Dials the wanted peers and keeps one link to each of them."""
 
     def __init__(
         self,
@@ -80,87 +84,91 @@
         self._inbox = inbox
         self._rng = rng
         self._wanted: dict[str, Member] = {}
-        self._redials: dict[str, _Redial] = {}
-        self._dialled: set[links.Link] = set()
+        self._dial_states: dict[str, _DialState] = {}
+        self._outbound: set[links.Link] = set()
 
     def set_wanted(self, wanted: Mapping[str, Member]) -> None:
-        """Say with whom a link is wanted; others may still dial us.
+        """Replace the peers to dial; other processes may still dial this one.
 
-        For each of them that is not linked yet, a link that is not wanted
-        any more stays.
+        For each wanted peer that is not linked yet, one link that is no
+        longer wanted stays open.
         """
         self._wanted = dict(wanted)
-        for name in set(self._redials) - set(wanted):
-            del self._redials[name]
+        for name in set(self._dial_states) - set(wanted):
+            del self._dial_states[name]
         self._close_surplus()
 
     def expected(self) -> set[str]:
-        """Give who is linked or is yet to be, as far as one can tell."""
+        """Return the peers that are linked, or may still be reached."""
         return (set(self._wanted) | set(self.links)) - self.unreachable()
 
     def unreachable(self) -> frozenset[str]:
-        """Give the wanted peers that the last try has not reached."""
+        """Return the wanted peers that the last dial did not reach."""
         return frozenset(
             name
-            for name, redial in self._redials.items()
-            if redial.failures and name not in self.links
+            for name, dial_state in self._dial_states.items()
+            if dial_state.failures and name not in self.links
         )
 
     def reset_backoff(self) -> None:
-        """Forget earlier failures and dial everyone who is wanted now."""
-        for redial in self._redials.values():
-            redial.failures = 0
-            redial.not_before = 0.0
+        """Forget earlier failures, so that the next tick dials every peer."""
+        for dial_state in self._dial_states.values():
+            dial_state.failures = 0
+            dial_state.not_before = 0.0
 
     def on_opened(self, link: links.Link) -> PeerLink | None:
-        """Take a new link; None if it is the second to the same process."""
+        """Add a link; None if it was closed as a duplicate."""
         peer = PeerLink(link, self._own.place)
-        known = self.links.get(peer.name)
-        if known is not None:
-            same = known.link.peer.incarnation == link.peer.incarnation
-            if same and not self._goes_first(link, known.link):
+        current = self.links.get(peer.name)
+        if current is not None:
+            same = current.link.peer.incarnation == link.peer.incarnation
+            if same and not self._supersedes(link, current.link):
                 link.close('duplicate')
                 return None
-            known.link.close('duplicate')
+            current.link.close('duplicate')
         self.links[peer.name] = peer
         return peer
 
     def on_closed(self, link: links.Link) -> str | None:
-        """Forget a link; its peer's name if no other link is left to it."""
-        self._dialled.discard(link)
-        known = self.links.get(link.peer.name)
-        if known is None or known.link is not link:
+        """Remove a link; return its peer's name if no other link is left."""
+        self._outbound.discard(link)
+        current = self.links.get(link.peer.name)
+        if current is None or current.link is not link:
             return None
         del self.links[link.peer.name]
-        return known.name
+        return current.name
 
     def find_by_link(self, link: links.Link) -> PeerLink | None:
-        """Give what is kept of an open link."""
-        known = self.links.get(link.peer.name)
-        return known if known is not None and known.link is link else None
-
-    def on_dialled(self, ended: DialResult, now: float) -> None:
-        """Note how an attempt to dial ended."""
-        redial = self._redials.get(ended.name)
-        if redial is None:
+        """Return the peer of a link, None if that has another link now."""
+        current = self.links.get(link.peer.name)
+        return (
+            current if current is not None and current.link is link else None
+        )
+
+    def on_dialled(self, result: DialResult, now: float) -> None:
+        """Record the result of a dial."""
+        dial_state = self._dial_states.get(result.name)
+        if dial_state is None:
             return
-        redial.dialling = False
-        if ended.link is not None:
-            redial.failures = 0
+        dial_state.dialling = False
+        if result.link is not None:
+            dial_state.failures = 0
             return
-        redial.failures += 1
-        wait = min(MIN_REDIAL_S * 2**redial.failures, MAX_REDIAL_S)
-        redial.not_before = now + wait * (0.5 + 0.5 * self._rng.random())
+        dial_state.failures += 1
+        backoff_s = min(MIN_REDIAL_S * 2**dial_state.failures, MAX_REDIAL_S)
+        dial_state.not_before = now + backoff_s * (
+            0.5 + 0.5 * self._rng.random()
+        )
 
     def tick(self, now: float) -> None:
-        """Dial who is wanted and not there, close what they replace."""
+        """Dial the wanted peers without a link, and close surplus links."""
         self._close_surplus()
         for name, member in self._wanted.items():
-            redial = self._redials.setdefault(name, _Redial())
-            if name in self.links or redial.dialling:
+            dial_state = self._dial_states.setdefault(name, _DialState())
+            if name in self.links or dial_state.dialling:
                 continue
-            if now >= redial.not_before:
-                redial.dialling = True
+            if now >= dial_state.not_before:
+                dial_state.dialling = True
                 gevent.spawn(self._dial, member)
 
     def close_all(self) -> None:
@@ -173,7 +181,7 @@
             peer.link
             for name, peer in self.links.items()
             if name not in self._wanted
-            and peer.link in self._dialled
+            and peer.link in self._outbound
             and not peer.link.closed_reason
         ]
         missing = self._wanted.keys() - self.links.keys()
@@ -193,15 +201,15 @@
         except links.LinkError:
             self._inbox.put(DialResult(member.name, None))
             return
-        self._dialled.add(link)
+        self._outbound.add(link)
         self._inbox.put(DialResult(member.name, link))
 
-    def _goes_first(self, link: links.Link, known: links.Link) -> bool:
-        ours = link in self._dialled
-        if ours == (known in self._dialled):
-            # The side that dials dials again only once it has lost the link
-            # that we still hold for good.
+    def _supersedes(self, link: links.Link, current: links.Link) -> bool:
+        is_outbound = link in self._outbound
+        if is_outbound == (current in self._outbound):
+            # The same side dialled both. It dials again only after it has
+            # lost the other link, even if that still looks open here.
             return True
-        # Both sides dialled at once. Each must keep the same of the two
-        # links, or both would be closed: the one dialled by the first name.
-        return ours == (self._own.name < link.peer.name)
+        # Both sides dialled at once. Both must keep the same link, or both
+        # links would be closed: the one that the lower name has dialled.
+        return is_outbound == (self._own.name < link.peer.name)
--- a/packages/burdockchute/tests/test_peers.py
+++ b/packages/burdockchute/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Links to the agents that a process wants to have."""
+"""Links to the agents that a process wants to be linked to."""
 
 from __future__ import annotations
 
@@ -35,23 +35,23 @@
         self.addCleanup(self.peers.close_all)
 
     def serve(self, name: str) -> Member:
-        listening = links.listen(
+        listener = links.listen(
             '127.0.0.1', 0, lambda: hello(name), queue.Queue(), lambda: -1
         )
-        self.addCleanup(listening.stop, 0)
-        return Member(name, 'agent', '127.0.0.1', listening.server_port, PLACE)
+        self.addCleanup(listener.stop, 0)
+        return Member(name, 'agent', '127.0.0.1', listener.server_port, PLACE)
 
-    def want(self, *members: Member) -> None:
+    def set_wanted(self, *members: Member) -> None:
         self.peers.set_wanted({member.name: member for member in members})
 
-    def run_for(self, seconds: float) -> None:
-        """Dial what is due and take what comes of it."""
+    def dial_for(self, seconds: float) -> None:
+        """Dial the peers that are due and handle the events of it."""
         with gevent.Timeout(seconds, False):
             while True:
                 self.peers.tick(self.now)
-                self.take(self.inbox.get())
+                self.handle(self.inbox.get())
 
-    def take(self, event: Any) -> None:
+    def handle(self, event: Any) -> None:
         match event:
             case DialResult():
                 self.peers.on_dialled(event, self.now)
@@ -61,28 +61,28 @@
                 self.peers.on_closed(link)
 
     def test_link_stays_until_the_one_in_its_place_has_opened(self):
-        """A list names other engines, which do not answer yet.
+        """The list names other engines, which do not accept links yet.
 
-        All links were closed at once, with the chunks on their way, and a
-        copy stood still until the others could be reached.
+        Closing all links at once lost the chunks in flight, and a copy
+        stalled until the new peers could be reached.
         """
         first = self.serve('a')
-        self.want(first)
-        self.run_for(0.2)
+        self.set_wanted(first)
+        self.dial_for(0.2)
         second = self.serve('b')
-        self.want(second._replace(port=1))
-        self.run_for(0.2)
+        self.set_wanted(second._replace(port=1))
+        self.dial_for(0.2)
         self.assertEqual({'a'}, set(self.peers.links))
-        self.want(second)
+        self.set_wanted(second)
         self.peers.reset_backoff()
-        self.run_for(0.2)
+        self.dial_for(0.2)
         self.assertEqual({'b'}, set(self.peers.links))
 
-    def test_links_of_nobody_wanted_close(self):
-        """A row is gone, and nothing takes the place of its peers."""
-        self.want(self.serve('a'), self.serve('b'))
-        self.run_for(0.2)
+    def test_links_that_are_no_longer_wanted_close(self):
+        """A row was removed, and its peers are not replaced by others."""
+        self.set_wanted(self.serve('a'), self.serve('b'))
+        self.dial_for(0.2)
         self.assertEqual({'a', 'b'}, set(self.peers.links))
-        self.want()
-        self.run_for(0.2)
+        self.set_wanted()
+        self.dial_for(0.2)
         self.assertEqual(set(), set(self.peers.links))
