--- a/packages/burdockchute/burdockchute/feed_follower.py
+++ b/packages/burdockchute/burdockchute/feed_follower.py
@@ -1,14 +1,14 @@
-"""The tasks that follow what the platform says, and keep the beliefs.
+"""Follows the platform's feeds and keeps the known state up to date.
 
-Each feed has one task. A store that does not answer changes nothing: what
-was learnt stays in force, and the age of it is logged when contact is lost
-and regained.
+One task reads each feed by long polling. A store that does not answer
+changes nothing: the last known state stays in force, and its age is logged
+when contact is lost and regained.
 
-A store may take calls and answer none of them. A read that was to stay open
-is noticed as lost only after all of its wait, and one that is sent a moment
-before the store is back is lost as well: a version that was named meanwhile
-would be learnt seconds late everywhere, and its copies begin as late. So
-after a read that failed, the next ones don't stay open, until one is
+A store may accept requests and answer none of them. The loss of a long poll
+is detected only after its whole wait, and one that is sent a moment before
+the store is back is lost as well: every process would read of a version that
+was named meanwhile seconds late, and its copies would start as late. After a
+failed read, the next ones therefore ask for an answer at once, until one is
 answered.
 """
 
@@ -39,58 +39,57 @@
 from burdockchute.model.known_state import StateChange
 from burdockchute.model.positions import Position
 
-# A connection that has gone silent is noticed only when a read that was to
-# stay open is over and its answer overdue, and a read after that takes a
-# moment. All of it has to be over before the process counts as in touch
-# again.
-NOTICE_S = 1.0
-LEAST_WAIT_S = 0.5
+# A silent connection is detected only when a long poll is over and its answer
+# overdue, and the read after that takes a moment. All of it has to fit into
+# the time after which the process counts as up to date again.
+SILENCE_DETECTION_S = 1.0
+MIN_WAIT_S = 0.5
 
-# A read that failed is followed by the next this long after it was sent: the
-# store may turn calls away because there are too many, and each one is paid
-# for. One that was waited for in vain has paused by that already.
-MIN_PAUSE_S = 0.2
-MAX_PAUSE_S = 0.8
-LEAST_PAUSE_S = 0.05
+# Interval from a failed read to the next one, doubled with each failure: the
+# store may reject requests because there are too many, and each one costs
+# money. The time that a failed read took counts towards the interval.
+INITIAL_RETRY_INTERVAL_S = 0.2
+MAX_RETRY_INTERVAL_S = 0.8
+MIN_RETRY_DELAY_S = 0.05
 
-# Contact counts as lost after so long without an answer.
-LOST_AFTER_S = 1.5
+# Contact counts as lost after this time without an answer.
+CONTACT_TIMEOUT_S = 1.5
 
 
-# After the store's return reads of the list don't stay open for so long: what
-# has lapsed meanwhile comes back, or is dropped at the next reading after.
+# For this long after the store's return, reads of the list are answered at
+# once: expired upstreams are listed again, or dropped by the read after that.
 SETTLING_S = listing.SETTLE_S + 0.7
 
 
-# A feed that others tell of is not read; whether they still do is looked at
-# this often. It adds to the time in which a reader that is left alone learns
-# of a version, which is paid for by the seconds until copies are whole.
-REST_S = 0.25
+# A feed that other processes report is not read; whether they still do is
+# checked at this interval. When they stop, it adds to the time until a version
+# is known here, and so to the time until copies are complete.
+REPORTED_FEED_POLL_S = 0.25
 
-# How often a process that starts looks whether its neighbours have told.
+# Interval at which a starting process checks for reports of its neighbours.
 NEIGHBOURS_POLL_S = 0.01
 
 
 def max_open_read_s(contact_s: float) -> float:
-    """Give how long a read may stay open.
+    """Return the seconds for which a read may stay open at the store.
 
-    It is answered as soon as there is something, so a longer wait costs fewer
-    calls. `contact_s` is how long after a disturbance a process counts as in
-    touch again.
+    It is answered as soon as there is a change, so a longer wait costs fewer
+    requests. `contact_s` is the time after a disturbance at which a process
+    has to be up to date again.
 
     >>> longest_wait_s(3.0), longest_wait_s(1.0)
     (2.0, 0.5)
     """
-    return max(contact_s - NOTICE_S, LEAST_WAIT_S)
+    return max(contact_s - SILENCE_DETECTION_S, MIN_WAIT_S)
 
 
 class Cadence(NamedTuple):
-    """How a feed is read.
+    """The timing of the reads of a feed.
 
-    A read stays open at the store for up to `wait_s`; after one that brought
-    changes the next comes `period_s` later, so that many changes in a row
-    don't cost a call each. For `settling_s` after the store's return reads
-    don't stay open.
+    A read stays open at the store for up to `wait_s`. After one that returned
+    changes the next follows `period_s` later, so that a series of changes
+    doesn't cost a request each. For `settling_s` after the store's return,
+    reads are answered at once.
     """
 
     wait_s: float
@@ -99,29 +98,29 @@
 
 
 class Cursor:
-    """Where a feed is read on; `position` is None where all is to be read."""
+    """The position from which to read a feed; None for a complete read."""
 
     def __init__(self) -> None:
         self.position: Position | None = None
         self._era: int | None = None
 
     def expire(self) -> None:
-        """Note that the store has dropped what stood at the position."""
+        """Start over, as the store no longer has the position."""
         self.position = None
 
     def advance(self, position: Position) -> bool:
-        """Go on from a position; true if the store came back from a copy."""
+        """Set the position; true if the store was restored from a copy."""
         restored = self._era is not None and position.era != self._era
         self.position = position
         self._era = position.era
         return restored
 
 
-class Returned(NamedTuple):
-    """What a batch comes after.
+class StoreReturn(NamedTuple):
+    """Whether a batch is the first one after the store's return.
 
     `regained` marks the first answer after an outage, `restored` the first
-    one of a store that came back from a copy.
+    one of a store that was restored from a copy.
     """
 
     regained: bool
@@ -129,7 +128,7 @@
 
 
 class Contact:
-    """Whether one feed answers, and since when it has not."""
+    """Whether one feed answers, and when it last did."""
 
     def __init__(self, name: str, now: float) -> None:
         self.lost = False
@@ -137,11 +136,11 @@
         self._answered_at = now
 
     def age_s(self, now: float) -> float:
-        """Give how long ago the feed last answered."""
+        """Return the seconds since the feed last answered."""
         return now - self._answered_at
 
-    def answered(self, now: float) -> bool:
-        """Note an answer; true if contact had been lost."""
+    def on_answered(self, now: float) -> bool:
+        """Record an answer; true if contact had been lost."""
         regained = self.lost
         if regained:
             logs.event(
@@ -153,8 +152,8 @@
         self.lost = False
         return regained
 
-    def restored(self, position: Position) -> None:
-        """Note that the store has come back from a copy."""
+    def on_restored(self, position: Position) -> None:
+        """Log that the store was restored from a copy."""
         logs.warn(
             'dependency_restored',
             dependency=self._name,
@@ -163,14 +162,14 @@
             kept_s=listing.SETTLE_S,
         )
 
-    def rest(self, now: float) -> None:
-        """Note that nothing was asked, so that silence means nothing."""
+    def skip(self, now: float) -> None:
+        """Record that the feed isn't read, so that its age doesn't grow."""
         self._answered_at = now
 
-    def failed(self, error: FeedError, now: float) -> None:
-        """Note a read that brought nothing."""
+    def on_failed(self, error: FeedError, now: float) -> None:
+        """Record a failed read."""
         silent_s = self.age_s(now)
-        if not self.lost and silent_s > LOST_AFTER_S:
+        if not self.lost and silent_s > CONTACT_TIMEOUT_S:
             self.lost = True
             logs.warn(
                 'dependency_lost',
@@ -181,9 +180,10 @@
 
 
 class FeedFollower:
-    """Keeps `known_state`; calls `changed` with each new value of it.
+    """Keeps `known_state` and calls `changed` with each new value.
 
-    `desired_state_cadence` gives None while others tell what operators want.
+    `desired_state_cadence` returns None while other processes report the
+    desired state, so that it need not be read.
     """
 
     def __init__(
@@ -200,9 +200,9 @@
         self._changed = changed
         self._now = now
         self._rng = rng
-        self._wishes_read = False
+        self._has_read_desired_state = False
         self._started_at = now()
-        self._heard = startup.NeighbourReports()
+        self._neighbour_reports = startup.NeighbourReports()
         self._held_back_at = 0.0
         self._desired_state_cadence = desired_state_cadence
         self._upstreams_cadence = upstreams_cadence
@@ -210,7 +210,7 @@
         self.upstreams_contact = Contact('upstream_list', now())
 
     def register_age_gauges(self) -> None:
-        """Measure how long ago each feed last answered."""
+        """Register gauges of the seconds since each feed last answered."""
         for name, contact in (
             ('wishes_age', self.desired_state_contact),
             ('upstream_list_age', self.upstreams_contact),
@@ -223,66 +223,70 @@
         return contact.age_s(self._now())
 
     def follow_desired_state(self) -> None:
-        """Follow what operators want, for ever."""
+        """Follow the desired state for ever."""
         self._follow(
             self._feeds.desired_state,
             self._desired_state_cadence,
             self.desired_state_contact,
-            self._take_wishes,
+            self._apply_desired_state,
         )
 
     def follow_upstreams(self) -> None:
-        """Follow the list of upstreams, for ever."""
+        """Follow the list of upstreams for ever."""
         self._follow(
             self._feeds.upstreams,
             lambda: self._upstreams_cadence,
             self.upstreams_contact,
-            self._take_upstreams,
+            self._apply_upstreams,
         )
 
-    def receive_peer_reports(self, told: Sequence[PeerReport]) -> None:
-        """Take in when other processes learnt of versions."""
+    def receive_peer_reports(self, reported: Sequence[PeerReport]) -> None:
+        """Apply other processes' reports of when versions were named."""
         self._replace(
             *state_updates.apply_peer_reports(
-                self.known_state, told, self._now()
+                self.known_state, reported, self._now()
             )
         )
 
-    def receive_requirements(self, told: AgentRequirements) -> None:
-        """Take in what an agent needs of the configuration."""
+    def receive_requirements(self, reported: AgentRequirements) -> None:
+        """Apply the requirements that an entry reports to an agent."""
         self._replace(
-            *state_updates.apply_reported_requirements(self.known_state, told)
+            *state_updates.apply_reported_requirements(
+                self.known_state, reported
+            )
         )
 
     def receive_configuration_version(self, version: int) -> None:
-        """Take in the version of the configuration that a neighbour knows."""
-        self._heard = startup.report_received(self._heard, version)
+        """Record the version of the configuration that a neighbour knows."""
+        self._neighbour_reports = startup.report_received(
+            self._neighbour_reports, version
+        )
 
     def _follow(
         self,
         read: ReadFeed,
-        cadence_now: Callable[[], Cadence | None],
+        current_cadence: Callable[[], Cadence | None],
         contact: Contact,
-        take: Callable[[Batch, Returned, float], None],
+        apply: Callable[[Batch, StoreReturn, float], None],
     ) -> None:
         cursor = Cursor()
-        reads_again_at = float('inf')
+        full_read_at = float('inf')
         failures = 0
         settled_at = float('-inf')
         while True:
-            cadence = cadence_now()
-            asked_at = self._now()
+            cadence = current_cadence()
+            sent_at = self._now()
             if cadence is None:
-                contact.rest(asked_at)
-                gevent.sleep(REST_S)
+                contact.skip(sent_at)
+                gevent.sleep(REPORTED_FEED_POLL_S)
                 continue
-            if asked_at >= reads_again_at:
-                # Writers had the time to write again, so that what the store
-                # names now is in force, though it was seen to leave.
-                reads_again_at = float('inf')
+            if sent_at >= full_read_at:
+                # Writers have had time to write again, so an upstream that is
+                # listed now is in force, even if it was seen to leave.
+                full_read_at = float('inf')
                 cursor.expire()
-            hurries = failures > 0 or asked_at < settled_at
-            wait_s = 0.0 if hurries else cadence.wait_s
+            is_urgent = failures > 0 or sent_at < settled_at
+            wait_s = 0.0 if is_urgent else cadence.wait_s
             result = read(cursor.position, wait_s)
             now = self._now()
             if isinstance(result, Failure):
@@ -290,87 +294,94 @@
                 if error.expired:
                     cursor.expire()
                     continue
-                contact.failed(error, now)
+                contact.on_failed(error, now)
                 failures += 1
-                gevent.sleep(self._pause_s(failures, now - asked_at))
+                gevent.sleep(self._retry_delay_s(failures, now - sent_at))
                 continue
             failures = 0
             batch = result.unwrap()
             restored = cursor.advance(batch.position)
-            regained = contact.answered(now)
+            regained = contact.on_answered(now)
             if restored:
-                contact.restored(batch.position)
-                reads_again_at = now + listing.SETTLE_S
+                contact.on_restored(batch.position)
+                full_read_at = now + listing.SETTLE_S
             if regained or restored:
                 settled_at = now + cadence.settling_s
-            take(batch, Returned(regained, restored), now)
+            apply(batch, StoreReturn(regained, restored), now)
             if batch.changes or not wait_s:
                 gevent.sleep(cadence.period_s)
 
-    def _take_wishes(
-        self, batch: Batch, _returned: Returned, now: float
+    def _apply_desired_state(
+        self, batch: Batch, _store_return: StoreReturn, now: float
     ) -> None:
-        first = not self._wishes_read
+        first = not self._has_read_desired_state
         if first:
             now = self._wait_for_neighbours(batch.position)
-        self._wishes_read = True
-        least = self._heard.configuration
-        after, learnt = state_updates.apply_desired_state(
-            self.known_state, batch, first, now, least
+        self._has_read_desired_state = True
+        min_configuration = self._neighbour_reports.configuration
+        after, state_changes = state_updates.apply_desired_state(
+            self.known_state, batch, first, now, min_configuration
         )
         if after.held_back_configuration is not None:
             if self.known_state.held_back_configuration is None:
                 self._held_back_at = now
             elif startup.may_serve_outdated(self._held_back_at, now):
-                after, taken = state_updates.apply_held_back(after)
-                learnt = [*learnt, *taken]
-        self._replace(after, learnt)
+                after, held_back_changes = state_updates.apply_held_back(after)
+                state_changes = [*state_changes, *held_back_changes]
+        self._replace(after, state_changes)
 
     def _wait_for_neighbours(self, position: Position) -> float:
         now = self._now()
         while startup.waits_for_neighbours(
-            self._heard, position, self._started_at, now
+            self._neighbour_reports, position, self._started_at, now
         ):
             gevent.sleep(NEIGHBOURS_POLL_S)
             now = self._now()
         return now
 
-    def _take_upstreams(
-        self, batch: Batch, returned: Returned, now: float
+    def _apply_upstreams(
+        self, batch: Batch, store_return: StoreReturn, now: float
     ) -> None:
         before = self.known_state
-        if returned.regained or returned.restored:
+        if store_return.regained or store_return.restored:
             upstreams = listing.on_store_return(before.upstreams, now)
             before = before._replace(upstreams=upstreams)
-            gevent.spawn_later(listing.SETTLE_S, self._settle)
-        take = state_updates.apply_upstreams
-        if returned.restored:
-            take = state_updates.apply_restored_upstreams
-        after, learnt = take(before, batch, now)
-        self._replace(after, learnt)
-
-    def _settle(self) -> None:
-        """Drop what has not come back since the store's return.
-
-        The next reading may be 0.7 s away, and an engine that left meanwhile
-        would get requests for as much longer than it stays.
+            gevent.spawn_later(listing.SETTLE_S, self._drop_unlisted)
+        apply = state_updates.apply_upstreams
+        if store_return.restored:
+            apply = state_updates.apply_restored_upstreams
+        after, state_changes = apply(before, batch, now)
+        self._replace(after, state_changes)
+
+    def _drop_unlisted(self) -> None:
+        """Drop the upstreams not listed again since the store's return.
+
+        The next read of the list may be 0.7 s away, and an engine that left
+        meanwhile would be sent requests for that much too long.
         """
-        nothing = Batch(Position(0, 0), False, ())
+        empty_batch = Batch(Position(0, 0), False, ())
         self._replace(
             *state_updates.apply_upstreams(
-                self.known_state, nothing, self._now()
+                self.known_state, empty_batch, self._now()
             )
         )
 
-    def _replace(self, after: KnownState, learnt: list[StateChange]) -> None:
-        for item in learnt:
+    def _replace(
+        self, after: KnownState, state_changes: list[StateChange]
+    ) -> None:
+        for item in state_changes:
             logs.event(item.event, logging.INFO, **item.fields)
-        changed = bool(learnt) or after.complete != self.known_state.complete
+        changed = (
+            bool(state_changes) or after.complete != self.known_state.complete
+        )
         self.known_state = after
         if changed:
             self._changed(after)
 
-    def _pause_s(self, failures: int, took_s: float) -> float:
-        longest_s = min(MIN_PAUSE_S * 2 ** (failures - 1), MAX_PAUSE_S)
-        apart_s = longest_s * (0.5 + 0.5 * self._rng.random())
-        return max(apart_s - took_s, LEAST_PAUSE_S)
+    def _retry_delay_s(self, failures: int, took_s: float) -> float:
+        max_interval_s = min(
+            INITIAL_RETRY_INTERVAL_S * 2 ** (failures - 1),
+            MAX_RETRY_INTERVAL_S,
+        )
+        interval_s = max_interval_s * (0.5 + 0.5 * self._rng.random())
+        return max(interval_s - took_s, MIN_RETRY_DELAY_S)
--- a/packages/burdockchute/tests/test_feed_follower.py
+++ b/packages/burdockchute/tests/test_feed_follower.py
@@ -1,4 +1,4 @@
-"""The follower of feeds, against feeds that stay silent or refuse."""
+"""The feed follower, with stores that do not answer or reject reads."""
 
 from __future__ import annotations
 
@@ -22,28 +22,28 @@
 from burdockchute.model.upstreams import UpstreamListed
 from burdockchute_testing.builders import upstreams
 
-# How long a client of a silent store waits on top of what it asked for.
+# Time that a client of a silent store waits beyond the requested wait.
 ANSWER_S = 0.7
 WAIT_S = feed_follower.max_open_read_s(3.0)
 
 
 class Stop(Exception):
-    """Ends a task that would go on for ever."""
+    """Ends a task that would run for ever."""
 
 
 class Store:
-    """A feed of wishes in time of its own; silent between two moments.
+    """A feed of the desired state on a simulated clock, with an outage.
 
-    A version is named while it is silent. `asked` holds when each read came
-    and how long it was to stay open.
+    A version is named during the outage. `reads` holds the time of each read
+    and for how long it was to stay open.
     """
 
-    def __init__(self, silent_from, silent_to, until, refuses=False) -> None:
+    def __init__(self, silent_from, silent_to, until, rejects=False) -> None:
         self.time = 0.0
-        self.asked: list[tuple[float, float]] = []
+        self.reads: list[tuple[float, float]] = []
         self._silent = (silent_from, silent_to)
         self._until = until
-        self._refuses = refuses
+        self._rejects = rejects
 
     def now(self):
         return self.time
@@ -54,10 +54,10 @@
     def read(self, position, wait_s):
         if self.time > self._until:
             raise Stop
-        self.asked.append((self.time, wait_s))
+        self.reads.append((self.time, wait_s))
         start, end = self._silent
         if start <= self.time + wait_s and self.time < end:
-            self.time += 0.0 if self._refuses else wait_s + ANSWER_S
+            self.time += 0.0 if self._rejects else wait_s + ANSWER_S
             return Failure(FeedError('no answer in time'))
         if position is None:
             return Success(Batch(Position(0, 0), True, ()))
@@ -69,7 +69,7 @@
 
 
 class ListStore(Store):
-    """A list that names one upstream until the store is silent."""
+    """A list that holds one upstream until the outage."""
 
     def read(self, position, wait_s):
         result = super().read(position, wait_s)
@@ -86,11 +86,11 @@
 
 
 class FollowerTest(unittest.TestCase):
-    def follower(self, store, learnt):
-        """Give a follower; `learnt` gets its beliefs and when it had them."""
+    def follower(self, store, updates):
+        """Return a follower; `updates` gets each known state and its time."""
         return feed_follower.FeedFollower(
             Feeds(store.read, store.read),
-            lambda known_state: learnt.append((store.time, known_state)),
+            lambda known_state: updates.append((store.time, known_state)),
             store.now,
             random.Random(1),
             lambda: feed_follower.Cadence(WAIT_S, 0.0),
@@ -98,56 +98,56 @@
         )
 
     def follow(self, store):
-        """Follow a store to its end; gives when the version was learnt."""
-        learnt = []
-        follower = self.follower(store, learnt)
+        """Follow a store; return when the version was known."""
+        updates = []
+        follower = self.follower(store, updates)
         with mock.patch.object(feed_follower.gevent, 'sleep', store.sleep):
             with self.assertRaises(Stop):
                 follower.follow_desired_state()
-        for at, known_state in learnt:
+        for at, known_state in updates:
             if known_state.history('story').newest == 2:
                 return at
         return None
 
-    def test_a_version_is_learnt_soon_after_the_store_is_back(self):
-        """The store takes calls and answers none for eight seconds.
+    def test_a_version_is_known_soon_after_the_store_is_back(self):
+        """The store accepts requests and answers none for eight seconds.
 
-        Meanwhile a version is named. A reader that asks for a read that
-        stays open waits that long in vain each time, and may begin to do so
-        in the moment before the store is back: all instances learn of the
-        version seconds late, and callers are refused for as long.
+        Meanwhile a version is named. A reader that kept long polling would
+        wait in vain each time, and might start to do so in the moment before
+        the store is back: all instances would know the version seconds late,
+        and callers would be refused for as long.
         """
         for end in (7.3, 8.0, 8.6, 9.1, 9.7, 10.4):
             with self.subTest(end=end):
                 at = self.follow(Store(1.0, end, until=30.0))
                 self.assertLess(at - end, 2 * ANSWER_S)
 
-    def test_a_quiet_list_costs_few_reads_and_a_change_is_told_at_once(self):
-        """Upstreams seldom change; nearly all reads would bring nothing."""
+    def test_a_list_without_changes_costs_few_reads(self):
+        """Upstreams seldom change; nearly all reads would return nothing."""
         store = Store(1.0, 1.0, until=30.0)
         follower = self.follower(store, [])
         with mock.patch.object(feed_follower.gevent, 'sleep', store.sleep):
             with self.assertRaises(Stop):
                 follower.follow_upstreams()
-        self.assertLess(len(store.asked), 30.0 / 2.0 + 4)
+        self.assertLess(len(store.reads), 30.0 / 2.0 + 4)
 
     def test_a_list_that_is_back_is_read_often_until_it_has_settled(self):
-        """Upstreams that lapsed with the store come back one by one."""
+        """Upstreams that expired in the outage are listed again one by one."""
         store = Store(1.0, 8.0, until=30.0)
         follower = self.follower(store, [])
         with mock.patch.object(feed_follower.gevent, 'sleep', store.sleep):
             with self.assertRaises(Stop):
                 follower.follow_upstreams()
-        asked = [at for at, _wait in store.asked if 9.0 < at < 11.3]
-        self.assertGreaterEqual(len(asked), 3)
+        reads = [at for at, _wait in store.reads if 9.0 < at < 11.3]
+        self.assertGreaterEqual(len(reads), 3)
 
-    def test_what_has_not_come_back_is_dropped_on_time(self):
-        """An upstream left while the store turned this entry away.
+    def test_an_upstream_not_listed_again_is_dropped_on_time(self):
+        """An upstream leaves while the store rejects this entry's reads.
 
-        After the store's return it is kept for a while, as it may come back.
-        Were it dropped only at the next reading of the list, up to 0.7 s
-        later, an engine that leaves would get requests for longer than it
-        stays.
+        After the store's return it is kept for a while, as it may be listed
+        again. If it were dropped only by the next read of the list, up to
+        0.7 s later, an engine that leaves would be sent requests for longer
+        than it stays.
         """
         store = ListStore(4.0, 8.0, until=10.0)
         follower = self.follower(store, [])
@@ -168,31 +168,33 @@
         store.time, settle = timers[-1]
         settle()
         self.assertEqual([], follower.known_state.present_upstreams())
-        back_at = min(at for at, _wait in store.asked if at >= 8.0)
+        back_at = min(at for at, _wait in store.reads if at >= 8.0)
         self.assertLess(store.time - back_at, listing.SETTLE_S + 0.1)
 
-    def test_reads_stay_open_again_after_that(self):
+    def test_reads_stay_open_again_after_an_outage(self):
         store = Store(1.0, 8.0, until=30.0)
         self.follow(store)
-        waits = [wait_s for at, wait_s in store.asked if at > 12.0]
+        waits = [wait_s for at, wait_s in store.reads if at > 12.0]
         self.assertEqual({WAIT_S}, set(waits))
 
-    def test_a_store_that_refuses_at_once_is_not_asked_all_the_time(self):
-        store = Store(1.0, 21.0, until=30.0, refuses=True)
+    def test_a_store_that_rejects_reads_is_read_with_pauses(self):
+        store = Store(1.0, 21.0, until=30.0, rejects=True)
         self.follow(store)
-        asked = [at for at, _wait in store.asked if 2.0 < at < 20.0]
-        self.assertLess(len(asked), 18.0 / (feed_follower.MAX_PAUSE_S / 2) + 1)
+        reads = [at for at, _wait in store.reads if 2.0 < at < 20.0]
+        self.assertLess(
+            len(reads), 18.0 / (feed_follower.MAX_RETRY_INTERVAL_S / 2) + 1
+        )
 
-    def test_a_feed_that_others_tell_of_is_not_read(self):
-        """Entries tell an agent what operators want, until they are killed.
+    def test_a_feed_that_others_report_is_not_read(self):
+        """Entries report the desired state to an agent, until they are killed.
 
-        An agent that read the wishes beside them would draw each save of a
-        long configuration over its engine's link; one that did not begin to
-        once they are gone would miss a version.
+        An agent that also read it would transfer each save of a long
+        configuration over its engine's link; one that did not start to read
+        it once the entries are gone would miss a version.
         """
         store = Store(0.0, 0.0, until=30.0)
-        learnt = []
-        follower = self.follower(store, learnt)
+        updates = []
+        follower = self.follower(store, updates)
         alone = feed_follower.Cadence(WAIT_S, 0.0)
         follower._desired_state_cadence = lambda: (
             None if store.time < 8.0 else alone
@@ -200,18 +202,20 @@
         with mock.patch.object(feed_follower.gevent, 'sleep', store.sleep):
             with self.assertRaises(Stop):
                 follower.follow_desired_state()
-        first_at, _wait_s = store.asked[0]
+        first_at, _wait_s = store.reads[0]
         self.assertGreaterEqual(first_at, 8.0)
-        self.assertLess(learnt[-1][0], 8.0 + 2 * feed_follower.REST_S + 2.0)
+        self.assertLess(
+            updates[-1][0], 8.0 + 2 * feed_follower.REPORTED_FEED_POLL_S + 2.0
+        )
         self.assertFalse(follower.desired_state_contact.lost)
 
 
 class RestoredStore:
-    """A feed whose configuration is that of a copy for a while."""
+    """A feed that shows the configuration of a copy for a while."""
 
     def __init__(self, era, until):
         self.time = 0.0
-        self.told = []
+        self.reported = []
         self.follower = None
         self._era = era
         self._until = until
@@ -221,8 +225,10 @@
 
     def sleep(self, seconds):
         self.time += seconds
-        while self.told and self.told[0][0] <= self.time:
-            self.follower.receive_configuration_version(self.told.pop(0)[1])
+        while self.reported and self.reported[0][0] <= self.time:
+            self.follower.receive_configuration_version(
+                self.reported.pop(0)[1]
+            )
 
     def read(self, position, wait_s):
         if self.time > 20.0:
@@ -236,11 +242,11 @@
 
 
 class ReturningStore:
-    """A feed that stays open; its era rises at five seconds."""
+    """A feed that allows long polls; its era increases at five seconds."""
 
     def __init__(self):
         self.time = 0.0
-        self.whole_at = []
+        self.complete_reads_at = []
 
     def now(self):
         return self.time
@@ -252,15 +258,15 @@
         if self.time > 20.0:
             raise Stop
         if position is None:
-            self.whole_at.append(round(self.time, 1))
+            self.complete_reads_at.append(round(self.time, 1))
         self.time += 0.01 if position is None else min(wait_s, 0.5)
         era = 1 if self.time < 5.0 else 2
         return Success(Batch(Position(era, 1), position is None, ()))
 
 
 class ReturnTest(unittest.TestCase):
-    def test_all_is_read_again_once_writers_had_the_time(self):
-        """One that was seen to leave may be in force in the copy."""
+    def test_the_list_is_read_again_once_writers_have_had_time(self):
+        """An upstream that was seen to leave may be in force in the copy."""
         store = ReturningStore()
         follower = feed_follower.FeedFollower(
             Feeds(store.read, store.read),
@@ -273,23 +279,23 @@
         with mock.patch.object(feed_follower.gevent, 'sleep', store.sleep):
             with self.assertRaises(Stop):
                 follower.follow_upstreams()
-        first, again = store.whole_at
+        first, again = store.complete_reads_at
         self.assertEqual(0.0, first)
         self.assertGreaterEqual(again, 5.0 + listing.SETTLE_S)
         self.assertLess(again, 5.0 + listing.SETTLE_S + 1.0)
 
 
 class FreshStartTest(unittest.TestCase):
-    """The store is back from a copy; a key was revoked in what it lost."""
+    """The store was restored from a copy that misses a key's revocation."""
 
-    def learnt(self, store):
-        """Give when a process that starts takes which configuration."""
-        learnt = []
+    def configurations(self, store):
+        """Return when a starting process applies which configuration."""
+        updates = []
 
         def changed(known_state):
             if known_state.routes is not None:
                 version = known_state.routes.configuration.version
-                learnt.append((round(store.time, 1), version))
+                updates.append((round(store.time, 1), version))
 
         store.follower = feed_follower.FeedFollower(
             Feeds(store.read, store.read),
@@ -302,30 +308,30 @@
         with mock.patch.object(feed_follower.gevent, 'sleep', store.sleep):
             with self.assertRaises(Stop):
                 store.follower.follow_desired_state()
-        return learnt
+        return updates
 
     def test_it_serves_nothing_older_than_its_neighbours_know(self):
         store = RestoredStore(era=1, until=4.0)
-        store.told = [(0.1, 6), (0.1, 0), (0.2, 7), (0.2, 7)]
-        ((at, version),) = self.learnt(store)
+        store.reported = [(0.1, 6), (0.1, 0), (0.2, 7), (0.2, 7)]
+        ((at, version),) = self.configurations(store)
         self.assertEqual(7, version)
         self.assertGreaterEqual(at, 4.0)
 
-    def test_without_neighbours_it_serves_what_the_store_shows(self):
-        """Nobody is left who could know better."""
+    def test_without_neighbours_it_serves_the_configuration_of_the_store(self):
+        """No other process is left that could know a newer one."""
         store = RestoredStore(era=1, until=4.0)
-        self.assertEqual((0.5, 6), self.learnt(store)[0])
+        self.assertEqual((0.5, 6), self.configurations(store)[0])
 
-    def test_it_does_not_wait_for_ever_for_a_save_to_come_back(self):
+    def test_it_does_not_wait_for_ever_for_a_lost_save(self):
         store = RestoredStore(era=1, until=99.0)
-        store.told = [(0.1, 7)]
-        ((at, version),) = self.learnt(store)
+        store.reported = [(0.1, 7)]
+        ((at, version),) = self.configurations(store)
         self.assertEqual(6, version)
         self.assertGreaterEqual(at, 15.0)
 
-    def test_a_store_that_never_returns_from_copies_costs_no_wait(self):
+    def test_a_store_that_is_never_restored_from_copies_costs_no_wait(self):
         store = RestoredStore(era=0, until=4.0)
-        self.assertEqual((0.0, 6), self.learnt(store)[0])
+        self.assertEqual((0.0, 6), self.configurations(store)[0])
 
 
 if __name__ == '__main__':
