--- a/packages/burdockchute/burdockchute/logs.py
+++ b/packages/burdockchute/burdockchute/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one key=value line for each event."""
+"""Structured logs: one line of key=value pairs per event."""
 
 from __future__ import annotations
 
@@ -12,19 +12,18 @@
 
 _LOG = logging.getLogger('burdockchute')
 
-# Lines a second that one process may write, and how many it may write at
-# once after a quiet time. A busy entry writes some three lines for each of
-# fifty requests a second; ten times the usual has room, and a flood beyond
-# that is counted instead of written.
+# Rate limit of the lines of one process, and its burst. A busy entry writes
+# about three lines for each of fifty requests per second. Ten times the usual
+# load stays within the limit; lines beyond it are counted and dropped.
 LINES_PER_S = 400.0
 BURST_LINES = 800.0
 
-# Warnings may use what this part of the budget leaves; they tell of
-# requests that failed and of what was lost, and are read first.
+# The part of the budget that lines below the level of a warning may use.
+# Warnings report failed requests and losses, and are read first.
 INFO_SHARE = 0.75
 
-# How often the number of lines left out is told.
-TELL_LEFT_OUT_S = 5.0
+# Minimum interval between reports of the number of dropped lines.
+DROPPED_REPORT_INTERVAL_S = 5.0
 
 
 def set_up(level: str, process: str) -> None:
@@ -33,7 +32,7 @@
 
 
 def set_up_bounded(level: str, process: str) -> None:
-    """Send events to stdout, never more than it takes without waiting."""
+    """Send events to stdout; drop those that it can't take at once."""
     os.set_blocking(sys.stdout.fileno(), False)
     _install(
         BoundedHandler(sys.stdout.fileno(), time.monotonic), level, process
@@ -41,57 +40,60 @@
 
 
 class BoundedHandler(logging.Handler):
-    """Writes lines to a file descriptor that does not block.
+    """Writes lines to a non-blocking file descriptor, up to a rate limit.
 
     A reader that stops reading fills the pipe, and a process that waited for
-    it would stop serving; a flood of lines would take the processor time
-    that requests need. Lines beyond the budget or the pipe are left out, and
-    `event=lines_left_out` tells how many.
+    it would stop serving; a flood of lines would use the processor time that
+    requests need. Lines beyond the rate limit or the capacity of the pipe are
+    dropped, and `event=lines_left_out` reports their number.
     """
 
     def __init__(self, descriptor: int, now: Callable[[], float]) -> None:
         super().__init__()
-        self.left_out = 0
+        self.dropped = 0
         self._descriptor = descriptor
         self._now = now
-        self._lines = BURST_LINES
-        self._filled_at = now()
-        self._told_at = now()
-        self._rest = b''
+        self._budget = BURST_LINES
+        self._refilled_at = now()
+        self._reported_at = now()
+        self._remainder = b''
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one record if there is room for it."""
+        """Write one record, or drop and count it."""
         now = self._now()
-        earned = (now - self._filled_at) * LINES_PER_S
-        self._lines = min(BURST_LINES, self._lines + earned)
-        self._filled_at = now
-        kept = 0.0
+        earned = (now - self._refilled_at) * LINES_PER_S
+        self._budget = min(BURST_LINES, self._budget + earned)
+        self._refilled_at = now
+        reserved = 0.0
         if record.levelno < logging.WARNING:
-            kept = (1 - INFO_SHARE) * BURST_LINES
-        if self._lines - kept < 1:
-            self.left_out += 1
+            reserved = (1 - INFO_SHARE) * BURST_LINES
+        if self._budget - reserved < 1:
+            self.dropped += 1
             return
-        if self.left_out and now - self._told_at >= TELL_LEFT_OUT_S:
-            self._told_at = now
-            count, self.left_out = self.left_out, 0
+        if (
+            self.dropped
+            and now - self._reported_at >= DROPPED_REPORT_INTERVAL_S
+        ):
+            self._reported_at = now
+            count, self.dropped = self.dropped, 0
             self._write(f'event=lines_left_out count={count}\n'.encode())
-        self._lines -= 1
+        self._budget -= 1
         self._write(self.format(record).encode() + b'\n')
 
     def _write(self, line: bytes) -> None:
-        data = self._rest + line
+        data = self._remainder + line
         try:
             written = os.write(self._descriptor, data)
         except BlockingIOError:
-            self.left_out += 1
+            self.dropped += 1
             return
         except OSError:
-            # Nobody reads any more, and there is nowhere left to say so.
-            self._rest = b''
+            # The reader is gone, so the error can't be reported either.
+            self._remainder = b''
             return
-        # The rest of a line goes out before the next one, or the two would
-        # become one line that nobody can read.
-        self._rest = data[written:]
+        # The remainder of a partly written line is written before the next
+        # one; otherwise the two would merge into one unreadable line.
+        self._remainder = data[written:]
 
 
 def _install(handler: logging.Handler, level: str, process: str) -> None:
@@ -101,13 +103,13 @@
             mapping={'at': 'asctime', 'level': 'levelname'},
         )
     )
-    handler.addFilter(_names_process(process))
+    handler.addFilter(_process_name_filter(process))
     _LOG.addHandler(handler)
     _LOG.setLevel(level.upper())
     _LOG.propagate = False
 
 
-def _names_process(
+def _process_name_filter(
     process: str,
 ) -> Callable[[logging.LogRecord], bool]:
     def add_name(record: logging.LogRecord) -> bool:
@@ -118,7 +120,7 @@
 
 
 def event(name: str, level: int = logging.INFO, **fields: object) -> None:
-    """Write one event.
+    """Log one event.
 
     >>> event('table_applied', offset=12)
     """
@@ -127,5 +129,5 @@
 
 
 def warn(name: str, **fields: object) -> None:
-    """Write one event that an operator may need to act on."""
+    """Log one event that an operator may need to act on."""
     event(name, logging.WARNING, **fields)
--- a/packages/burdockchute/tests/test_logs.py
+++ b/packages/burdockchute/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines: one for each event, key=value."""
+"""Log lines: one line of key=value pairs per event."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
             logs.event('table_applied', offset=3, reason='two\nlines')
         line = stderr.getvalue()
         self.assertEqual(1, line.count('\n'))
-        _at, rest = line.split(' level=', 1)
+        _at, remainder = line.split(' level=', 1)
         self.assertEqual(
             'INFO event=table_applied offset=3 '
             'reason="two\\nlines" proc=entry-1\n',
-            rest,
+            remainder,
         )
 
 
@@ -56,8 +56,8 @@
     def test_a_flood_is_bounded_and_counted(self):
         """Something writes ten thousand lines in one moment.
 
-        Written all, they would take the processor from the requests; left
-        out in silence, a reader would take what is there for all there was.
+        Writing all of them would use the processor time of the requests; if
+        they were dropped without a count, the log would look complete.
         """
         self.write(10_000)
         allowed = int(logs.BURST_LINES * logs.INFO_SHARE)
@@ -69,20 +69,20 @@
             self.lines(),
         )
 
-    def test_warnings_have_room_left_in_a_flood(self):
+    def test_warnings_are_written_in_a_flood(self):
         self.write(10_000)
         self.lines()
         self.write(1, logging.WARNING, 'lost')
         self.assertEqual(['lost'], self.lines())
 
-    def test_a_reader_that_stops_reading_blocks_nobody(self):
-        """The pipe fills up since nobody reads it.
+    def test_a_reader_that_stops_reading_blocks_no_writer(self):
+        """The pipe is full, because its reader has stopped reading.
 
-        A process that waited for it would stop serving.
+        A process that waited for the pipe would stop serving.
         """
         for _second in range(40):
             self.now += 1.0
             self.write(300, text='x' * 100)
-        self.assertGreater(self.handler.left_out, 0)
-        whole = [line for line in self.lines() if line == 'x' * 100]
-        self.assertGreater(len(whole), 500)
+        self.assertGreater(self.handler.dropped, 0)
+        complete = [line for line in self.lines() if line == 'x' * 100]
+        self.assertGreater(len(complete), 500)
