--- a/packages/burdockchute/burdockchute/http_admin.py
+++ b/packages/burdockchute/burdockchute/http_admin.py
@@ -1,8 +1,8 @@
-"""The local port on which a process tells about itself, as JSON.
+"""The admin port of a process, which serves its state as JSON.
 
-`/healthz` answers as long as the process runs, `/readyz` 200 or 503,
-`/status` what the process holds and does, `/metrics` its measurements, and
-`/metrics/text` the same in the form that collectors of metrics read.
+`/healthz` answers as long as the process runs, `/readyz` with status 200 or
+503, `/status` with the state of the process and `/metrics` with its metrics;
+`/metrics/text` has the same metrics in the text format of Prometheus.
 """
 
 from __future__ import annotations
@@ -24,39 +24,41 @@
 
 
 class Readiness(NamedTuple):
-    """Whether a process is ready, and if not, why."""
+    """Whether a process is ready, and the reason if it isn't."""
 
     ready: bool
     reason: str
 
 
 def json_response(data: object, status: str = '200 OK') -> Response:
-    """Give a response with the data as JSON."""
+    """Return a response with the data as JSON."""
     body = json.dumps(data, indent=1, sort_keys=True).encode() + b'\n'
     return status, [('Content-Type', 'application/json')], [body]
 
 
 def text_response(text: str) -> Response:
-    """Give a response with plain text."""
+    """Return a response with metrics in the text format of Prometheus."""
     headers = [('Content-Type', 'text/plain; version=0.0.4')]
     return '200 OK', headers, [text.encode()]
 
 
 def make_app(
     status: Callable[[], dict[str, Any]],
-    probe: Callable[[], Readiness],
+    get_readiness: Callable[[], Readiness],
     pages: dict[str, Page] | None = None,
 ) -> Callable[..., Iterable[bytes]]:
-    """Give the WSGI application; `pages` maps more path prefixes.
+    """Return the WSGI application; `pages` maps further path prefixes.
 
-    A page is called with the rest of the path after its prefix.
+    A page is called with the remainder of the path after its prefix.
     """
 
-    def app(environ: dict[str, Any], start: Callable) -> Iterable[bytes]:
-        line, headers, body = _answer(
-            environ['PATH_INFO'], status, probe, pages or {}
+    def app(
+        environ: dict[str, Any], start_response: Callable
+    ) -> Iterable[bytes]:
+        status_line, headers, body = _respond(
+            environ['PATH_INFO'], status, get_readiness, pages or {}
         )
-        start(line, headers)
+        start_response(status_line, headers)
         return body
 
     return app
@@ -69,18 +71,20 @@
     return server
 
 
-def _answer(
+def _respond(
     path: str,
     status: Callable[[], dict[str, Any]],
-    probe: Callable[[], Readiness],
+    get_readiness: Callable[[], Readiness],
     pages: dict[str, Page],
 ) -> Response:
     if path == '/healthz':
         return json_response({'healthy': True})
     if path == '/readyz':
-        ready = probe()
-        line = '200 OK' if ready.ready else '503 Service Unavailable'
-        return json_response(ready._asdict(), line)
+        readiness = get_readiness()
+        status_line = (
+            '200 OK' if readiness.ready else '503 Service Unavailable'
+        )
+        return json_response(readiness._asdict(), status_line)
     if path == '/status':
         return json_response(status())
     if path == '/metrics':
@@ -90,7 +94,7 @@
     for prefix, page in pages.items():
         if path.startswith(prefix):
             return page(path[len(prefix) :])
-    known = [
+    paths = [
         '/healthz',
         '/metrics',
         METRICS_TEXT,
@@ -99,6 +103,6 @@
         *pages,
     ]
     return json_response(
-        {'error': f'{path!r} is not one of {", ".join(known)}'},
+        {'error': f'{path!r} is not one of {", ".join(paths)}'},
         '404 Not Found',
     )
--- a/packages/burdockchute/burdockchute/metrics.py
+++ b/packages/burdockchute/burdockchute/metrics.py
@@ -1,8 +1,8 @@
 """Metrics through OpenTelemetry.
 
-Instruments are made once for each process and read in two ways: `snapshot`
-gives them locally for the status page, and an OTLP exporter over HTTP sends
-them where the settings name an endpoint.
+Instruments are created once per process and read in two ways: `snapshot`
+returns them for the admin port, and an OTLP exporter sends them over HTTP to
+the endpoint in the settings, if there is one.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 def set_up(process: str, otlp_endpoint: str) -> None:
-    """Start measuring; exports only if an endpoint is named."""
+    """Start collecting metrics; export them if an endpoint is given."""
     reader = export.InMemoryMetricReader()
     readers: list[export.MetricReader] = [reader]
     if otlp_endpoint:
@@ -48,14 +48,14 @@
 
 
 def meter() -> otel.Meter:
-    """Give the meter that makes this project's instruments."""
+    """Return the meter that creates this project's instruments."""
     return otel.get_meter('burdockchute')
 
 
 def register_gauge(
     name: str, unit: str, read: Callable[[], float | None]
 ) -> None:
-    """Measure a value whenever metrics are read; None leaves it out."""
+    """Call `read` whenever metrics are read; None omits the value."""
 
     def observe(_options: otel.CallbackOptions) -> list[otel.Observation]:
         value = read()
@@ -65,7 +65,7 @@
 
 
 def snapshot() -> list[Point]:
-    """Give every point measured so far by this process.
+    """Return all points that this process has measured.
 
     Counters have `value`; histograms have `count`, `value` (the sum),
     `bounds` and `buckets` as well.
@@ -78,37 +78,39 @@
         for resource in data.resource_metrics:
             for scope in resource.scope_metrics:
                 for metric in scope.metrics:
-                    points.extend(_points_of(metric))
+                    points.extend(_read_points(metric))
     return points
 
 
 def prometheus_text(points: Iterable[Point]) -> str:
-    """Give points in the text format that collectors of metrics read."""
-    return ''.join(f'{line}\n' for p in points for line in _text_of(p))
+    """Return points in the text format of Prometheus."""
+    return ''.join(f'{line}\n' for p in points for line in _text_lines(p))
 
 
-def _text_of(point: Point) -> list[str]:
+def _text_lines(point: Point) -> list[str]:
     name = point['name'].replace('.', '_')
-    labels = [f'{k}="{_escaped(v)}"' for k, v in point['attributes'].items()]
+    labels = [
+        f'{k}="{_escape_label(v)}"' for k, v in point['attributes'].items()
+    ]
     if not point['buckets']:
-        return [f'{name}{_braced(labels)} {point["value"]:g}']
+        return [f'{name}{_label_set(labels)} {point["value"]:g}']
     lines = []
-    total = 0
+    cumulative = 0
     bounds = [f'{bound:g}' for bound in point['bounds']] + ['+Inf']
     for bound, count in zip(bounds, point['buckets'], strict=True):
-        total += count
-        braced = _braced([*labels, f'le="{bound}"'])
-        lines.append(f'{name}_bucket{braced} {total}')
-    lines.append(f'{name}_sum{_braced(labels)} {point["value"]:g}')
-    lines.append(f'{name}_count{_braced(labels)} {point["count"]}')
+        cumulative += count
+        label_set = _label_set([*labels, f'le="{bound}"'])
+        lines.append(f'{name}_bucket{label_set} {cumulative}')
+    lines.append(f'{name}_sum{_label_set(labels)} {point["value"]:g}')
+    lines.append(f'{name}_count{_label_set(labels)} {point["count"]}')
     return lines
 
 
-def _braced(labels: list[str]) -> str:
+def _label_set(labels: list[str]) -> str:
     return '{' + ','.join(labels) + '}' if labels else ''
 
 
-def _escaped(value: str) -> str:
+def _escape_label(value: str) -> str:
     return value.replace('\\', '\\\\').replace('"', '\\"')
 
 
@@ -121,7 +123,7 @@
     )
 
 
-def _points_of(metric: export.Metric) -> list[Point]:
+def _read_points(metric: export.Metric) -> list[Point]:
     return [
         Point(
             name=metric.name,
--- a/packages/burdockchute/tests/test_metrics.py
+++ b/packages/burdockchute/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics as text."""
+"""Metrics in the text format of Prometheus."""
 
 from __future__ import annotations
 
