--- a/packages/burdockchute/burdockchute/settings.py
+++ b/packages/burdockchute/burdockchute/settings.py
@@ -1,8 +1,8 @@
-"""Settings from flags and environment, with all findings listed together.
+"""Settings from flags and environment variables, validated together.
 
 Each setting is declared once; its flag is `--name` and its environment
-variable `BURDOCKCHUTE_NAME`. A flag goes before the environment, that before
-the default.
+variable `BURDOCKCHUTE_NAME`. A flag takes precedence over the variable, and
+that over the default. All invalid settings are reported at once.
 
 >>> port = Setting('port', 'TCP port', parse_port, '0')
 >>> variable_name(port)
@@ -32,10 +32,10 @@
 
 
 class Setting(NamedTuple):
-    """One setting: `parse` raises ValueError for a value it can't take.
+    """One setting; `parse` raises ValueError for an invalid value.
 
     `default` is text as an operator would write it; None makes the setting
-    one that must be given.
+    required.
     """
 
     name: str
@@ -45,13 +45,13 @@
 
 
 def instance_settings(pool: str) -> tuple[Setting, ...]:
-    """Give the settings that tell where an instance stands."""
+    """Return the settings of the name, location and ports of an instance."""
     return (
         Setting('name', 'name of this instance', parse_name),
         Setting('zone', 'availability zone', parse_name),
         Setting('region', 'region', parse_name),
         Setting('pool', 'pool that placements may name', parse_name, pool),
-        Setting('address', 'IP number to listen on', parse_address),
+        Setting('address', 'IP address to listen on', parse_address),
         Setting('link-port', 'port for links', parse_port, '0'),
         Setting('admin-port', 'port for status', parse_port, '0'),
         Setting('log-url', 'the platform log service', parse_url),
@@ -59,11 +59,11 @@
 
 
 def process_settings() -> tuple[Setting, ...]:
-    """Give the settings of how a process ends and tells of itself."""
+    """Return the settings of shutdown, metrics and logs."""
     return (
         Setting(
             'drain-s',
-            'longest wait for requests in flight when leaving',
+            'maximum wait for requests in flight at shutdown',
             parse_seconds,
             '60',
         ),
@@ -73,12 +73,12 @@
             parse_optional_url,
             '',
         ),
-        Setting('log-level', 'least level to log', parse_level, 'info'),
+        Setting('log-level', 'lowest level to log', parse_level, 'info'),
     )
 
 
 def variable_name(setting: Setting) -> str:
-    """Give the name of the environment variable."""
+    """Return the name of the environment variable."""
     return 'BURDOCKCHUTE_' + setting.name.upper().replace('-', '_')
 
 
@@ -104,28 +104,28 @@
     args: argparse.Namespace,
     environ: Mapping[str, str],
 ) -> Result[dict[str, Any], list[Finding]]:
-    """Give the parsed values by name (with '_' for '-'), or all findings."""
+    """Return the parsed values by name ('_' for '-'), or all findings."""
     values: dict[str, Any] = {}
-    found: list[Finding] = []
+    invalid: list[Finding] = []
     for setting in settings:
-        place, text = _text_of(setting, args, environ)
+        place, text = _find_text(setting, args, environ)
         if text is None:
-            found.append(Finding(place, 'must be given'))
+            invalid.append(Finding(place, 'must be given'))
             continue
         try:
-            values[_attribute_of(setting)] = setting.parse(text)
+            values[_attribute_name(setting)] = setting.parse(text)
         except ValueError as exc:
-            found.append(Finding(place, str(exc)))
-    return Failure(found) if found else Success(values)
+            invalid.append(Finding(place, str(exc)))
+    return Failure(invalid) if invalid else Success(values)
 
 
 def parse_text(text: str) -> str:
-    """Take any text."""
+    """Accept any text."""
     return text
 
 
 def parse_name(text: str) -> str:
-    """Take a name without blanks."""
+    """Parse a name, which has no whitespace, comma or slash."""
     if not text or any(c.isspace() or c in ',/' for c in text):
         raise ValueError(
             f'{text!r} is not a name: letters, digits, - . _ are valid'
@@ -134,7 +134,7 @@
 
 
 def parse_port(text: str) -> int:
-    """Take a TCP port, 0 for any free one."""
+    """Parse a TCP port, 0 for any free one."""
     try:
         port = int(text)
     except ValueError:
@@ -145,72 +145,72 @@
 
 
 def parse_address(text: str) -> str:
-    """Take an IP number."""
+    """Parse an IP address."""
     try:
         return str(ipaddress.ip_address(text))
     except ValueError:
-        raise ValueError(f'{text!r} is not an IP number') from None
+        raise ValueError(f'{text!r} is not an IP address') from None
 
 
 def parse_url(text: str) -> str:
-    """Take an http or https URL with an IP number, without trailing slash.
+    """Parse an http or https URL with an IP address.
 
-    A name would have to be looked up, which stops a process that does all
-    its work in one thread.
+    The result has no trailing slash. A host name would need a DNS lookup,
+    which blocks a process that does all its work in one thread.
     """
     parts = parse.urlsplit(text)
     try:
         ipaddress.ip_address(parts.hostname or '')
-        sound = parts.scheme in ('http', 'https') and parts.port != 0
+        is_valid = parts.scheme in ('http', 'https') and parts.port != 0
     except ValueError:
-        sound = False
-    if not sound:
-        raise ValueError(f'{text!r} is not a URL http://IP-NUMBER:PORT')
+        is_valid = False
+    if not is_valid:
+        raise ValueError(f'{text!r} is not a URL http://IP-ADDRESS:PORT')
     return text.rstrip('/')
 
 
 def parse_optional_url(text: str) -> str:
-    """Take a URL or nothing."""
+    """Parse a URL or an empty text."""
     return parse_url(text) if text else ''
 
 
 def parse_seconds(text: str) -> float:
-    """Take a positive number of seconds."""
-    return _positive(text, 'number of seconds over 0')
+    """Parse a positive number of seconds."""
+    return _parse_positive(text, 'number of seconds over 0')
 
 
 def parse_bytes(text: str) -> int:
-    """Take a positive whole number of bytes."""
-    return int(_positive(text, 'number of bytes over 0'))
+    """Parse a positive number of bytes; a fraction is cut off."""
+    return int(_parse_positive(text, 'number of bytes over 0'))
 
 
 def parse_level(text: str) -> str:
-    """Take a log level."""
+    """Parse a log level."""
     if text not in LOG_LEVELS:
         raise ValueError(findings.not_one_of(text, LOG_LEVELS))
     return text
 
 
-def _positive(text: str, wanted: str) -> float:
+def _parse_positive(text: str, quantity: str) -> float:
     try:
         value = float(text)
     except ValueError:
         value = -1.0
     if not 0 < value < float('inf'):
-        raise ValueError(f'{text!r} is not a {wanted}')
+        raise ValueError(f'{text!r} is not a {quantity}')
     return value
 
 
-def _attribute_of(setting: Setting) -> str:
+def _attribute_name(setting: Setting) -> str:
     return setting.name.replace('-', '_')
 
 
-def _text_of(
+def _find_text(
     setting: Setting,
     args: argparse.Namespace,
     environ: Mapping[str, str],
 ) -> tuple[str, str | None]:
-    flag = getattr(args, _attribute_of(setting), None)
+    flag = getattr(args, _attribute_name(setting), None)
     if flag is not None:
         return f'--{setting.name}', flag
     variable = variable_name(setting)
--- a/packages/burdockchute/burdockchute/site_settings.py
+++ b/packages/burdockchute/burdockchute/site_settings.py
@@ -1,7 +1,7 @@
-"""Settings of a process on a platform that has its own adapter.
+"""Settings of a process on a platform with an adapter.
 
-What the machine is comes from the platform's settings file; flags and
-variables hold what operators of this system choose.
+The platform's settings file describes the machine; flags and environment
+variables hold the choices of this system's operators.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 PLATFORM = Setting(
     'platform',
-    'adapter of the platform, empty for the own protocol',
+    "adapter of the platform, empty for the project's own protocol",
     base.parse_text,
     '',
 )
 
 
 class Identity(NamedTuple):
-    """What names a process and says where it stands."""
+    """The name, the location and the metrics endpoint of a process."""
 
     name: str
     zone: str
@@ -36,7 +36,7 @@
 
 
 class SiteSettings(NamedTuple):
-    """Checked settings."""
+    """Validated settings."""
 
     platform: str
     settings: str
@@ -45,7 +45,7 @@
     log_level: str
 
     def identity(self, machine: Machine) -> Identity:
-        """Give the identity of a process on a machine."""
+        """Return the identity of a process on a machine."""
         return Identity(
             machine.name,
             machine.place.zone,
@@ -64,25 +64,25 @@
         base.parse_optional_url,
         '',
     ),
-    Setting('log-level', 'least level to log', base.parse_level, 'info'),
+    Setting('log-level', 'lowest level to log', base.parse_level, 'info'),
 )
 
 
 def from_values(values: dict[str, Any]) -> SiteSettings:
-    """Give the settings from parsed values."""
+    """Return the settings from parsed values."""
     return SiteSettings(**values)
 
 
-def reload(cfg: SiteSettings, adapter: Adapter, before: Machine) -> Machine:
-    """Read the machine's file again; gives what was in force if it's bad.
+def reload(cfg: SiteSettings, adapter: Adapter, current: Machine) -> Machine:
+    """Read the machine's file again; keep the old state if it is invalid.
 
-    Where the machine listens and who it is stays as it was at the start;
-    only its bounds may change under a running process.
+    The name and the addresses of the machine stay as at the start; only its
+    bounds may change in a running process.
     """
     result = adapter.read_machine(cfg.settings)
     if isinstance(result, Failure):
         logs.warn('reload_failed', reason=render_all(result.failure()))
-        return before
-    after = before._replace(bounds=result.unwrap().bounds)
-    logs.event('reloaded', changed=after != before)
-    return after
+        return current
+    reloaded = current._replace(bounds=result.unwrap().bounds)
+    logs.event('reloaded', changed=reloaded != current)
+    return reloaded
--- a/packages/burdockchute/tests/test_settings.py
+++ b/packages/burdockchute/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: flags before environment, every finding at once."""
+"""Settings: flags before environment variables, all findings at once."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    def test_flag_goes_before_environment_before_default(self):
+    def test_flag_precedes_environment_precedes_default(self):
         environ = {
             'BURDOCKCHUTE_NAME': 'from-environment',
             'BURDOCKCHUTE_LOG_URL': 'http://10.0.0.1:80/',
@@ -51,7 +51,7 @@
                     Finding(
                         'BURDOCKCHUTE_LOG_URL',
                         "'http://log.example:80' is not a URL "
-                        'http://IP-NUMBER:PORT',
+                        'http://IP-ADDRESS:PORT',
                     ),
                     Finding('--port', "'x' is not a port from 0 to 65535"),
                 ]
@@ -59,7 +59,7 @@
             read(['--port', 'x'], environ),
         )
 
-    def test_values_that_parsers_refuse(self):
+    def test_invalid_values_are_rejected(self):
         cases = [
             (base.parse_url, ''),
             (base.parse_url, 'ftp://10.0.0.1'),
--- a/packages/burdockchute/tests/test_site_settings.py
+++ b/packages/burdockchute/tests/test_site_settings.py
@@ -1,4 +1,4 @@
-"""Reading the machine's file again while the process runs."""
+"""Reloading the machine's settings file in a running process."""
 
 from __future__ import annotations
 
@@ -40,14 +40,14 @@
 
 
 class ReloadTest(unittest.TestCase):
-    def test_new_bounds_are_taken(self):
+    def test_new_bounds_are_applied(self):
         changed = BOUNDS._replace(version_s=4.0)
-        after = reload(Success(MACHINE._replace(bounds=changed, name='x')))
-        self.assertEqual(MACHINE._replace(bounds=changed), after)
+        reloaded = reload(Success(MACHINE._replace(bounds=changed, name='x')))
+        self.assertEqual(MACHINE._replace(bounds=changed), reloaded)
 
-    def test_a_bad_file_changes_nothing(self):
-        """An operator saves a file that can't be read and sends the signal.
+    def test_an_invalid_file_changes_nothing(self):
+        """An operator saves an invalid file and sends the reload signal.
 
-        The process must go on as it was; ending would cut off its callers.
+        The process must continue unchanged; its end would cut off callers.
         """
         self.assertEqual(MACHINE, reload(Failure([Finding('x', 'torn')])))
