--- a/packages/burdockchute/burdockchute/bootstrap.py
+++ b/packages/burdockchute/burdockchute/bootstrap.py
@@ -1,4 +1,4 @@
-"""What each program does before anything else.
+"""Prepares the interpreter before a program imports anything else.
 
 from burdockchute import bootstrap
 
@@ -13,42 +13,42 @@
 from gevent import config
 from gevent import monkey
 
-_held: list[int] = []
+_early_reloads: list[int] = []
 
 
 def prepare() -> None:
-    """Hold back reloads, and patch the standard library for gevent."""
-    # A platform that writes the settings anew right after it has started a
-    # process sends SIGHUP, which ends one that has no handler for it yet.
-    signal.signal(signal.SIGHUP, _hold)
+    """Record early reload requests, and patch the library for gevent."""
+    # A platform that rewrites the settings right after it has started a
+    # process sends SIGHUP, which ends a process without a handler for it.
+    signal.signal(signal.SIGHUP, _record_reload)
     _patch()
 
 
 def consume_reload_request() -> bool:
-    """Tell whether SIGHUP came since `prepare`, or since the last call."""
-    asked = bool(_held)
-    _held.clear()
-    return asked
+    """Whether SIGHUP arrived since `prepare`, or since the last call."""
+    requested = bool(_early_reloads)
+    _early_reloads.clear()
+    return requested
 
 
-def _hold(number: int, _frame: object) -> None:
-    _held.append(number)
+def _record_reload(number: int, _frame: object) -> None:
+    _early_reloads.append(number)
 
 
 def _patch() -> None:
-    # Every address in use is an IP number, which is resolved without asking
-    # anybody. gevent's default resolver hands each to a thread all the same
-    # and waits for it, once for each call to an upstream.
+    # Every address in use is an IP address, which needs no lookup. gevent's
+    # default resolver still passes each one to a thread and waits for it,
+    # once for each request to an upstream.
     config.resolver = 'block'
-    # gevent asks for plugins for each module that it patches, and looks
-    # through all installed distributions each time: of the 0.34 s of
-    # processor time before a program does anything, 0.08 s, which callers
-    # wait for after a power cut. They are looked through once here.
-    found = metadata.entry_points()
+    # gevent searches all installed distributions for plugins, once for each
+    # module that it patches. That takes 0.08 s of the 0.34 s of processor
+    # time before a program does anything, and callers wait for it after a
+    # loss of power. Here they are searched only once.
+    all_entry_points = metadata.entry_points()
     entry_points = metadata.entry_points
 
     def select(*, group: str) -> metadata.EntryPoints:
-        return found.select(group=group)
+        return all_entry_points.select(group=group)
 
     metadata.entry_points = select  # type: ignore[assignment]
     try:
--- a/packages/burdockchute/burdockchute/lifecycle.py
+++ b/packages/burdockchute/burdockchute/lifecycle.py
@@ -1,4 +1,4 @@
-"""What an entry and an agent do alike from their start to their stop."""
+"""The steps from start to stop that an entry and an agent share."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Identity(Protocol):
-    """The settings that name a process and say where it stands."""
+    """The settings with the name and the location of a process."""
 
     @property
     def name(self) -> str: ...
@@ -48,7 +48,7 @@
         self._failed = False
 
     def hello(self) -> messages.Hello:
-        """Give our side's first message on a link."""
+        """Return the first message that this process sends on a link."""
         return messages.Hello(
             self._cfg.name,
             self._role,
@@ -61,10 +61,13 @@
         )
 
     def start(self, reload: Callable[[], None] | None = None) -> None:
-        """Start measuring, and let signals ask to stop or to reload."""
+        """Set up metrics and the signals that request a stop or a reload.
+
+        A reload that was requested before `start` runs at once.
+        """
         metrics.set_up(self._cfg.name, self._cfg.otlp_endpoint)
-        for number in (signal.SIGTERM, signal.SIGINT):
-            gevent.signal_handler(number, self._stopping.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            gevent.signal_handler(signal_number, self._stopping.set)
         if reload is None:
             return
         gevent.signal_handler(signal.SIGHUP, reload)
@@ -72,13 +75,13 @@
             gevent.spawn(reload)
 
     def run_until_stopped(self, loops: Iterable[Callable[[], None]]) -> bool:
-        """Run the tasks; False if one failed, True if asked to stop."""
+        """Run the tasks until a stop is requested; False if one failed."""
         tasks.start(loops, self._fail)
         self._stopping.wait()
         return not self._failed
 
     def status(self) -> dict[str, Any]:
-        """Give the part of the status page that is alike."""
+        """Return the part of the status page that all processes share."""
         return {
             'name': self._cfg.name,
             'incarnation': self.incarnation,
--- a/packages/burdockchute/burdockchute/sockets.py
+++ b/packages/burdockchute/burdockchute/sockets.py
@@ -1,7 +1,7 @@
-"""Looks at sockets that never wait, not even for the event loop.
+"""Checks of sockets that never block and never yield to the event loop.
 
-The look may be made in a callback of the loop, where waiting is an error;
-the library's own select gives way to other greenlets also with no timeout.
+A check may run in a callback of the loop, where yielding is an error;
+gevent's own select yields to other greenlets even without a timeout.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def is_readable(sock: Any) -> bool:
-    """Tell whether a read would give bytes, an end or an error at once."""
+    """Whether a read would return bytes, an end or an error at once."""
     poll = _poll()
     try:
         poll.register(sock.fileno(), select.POLLIN)
@@ -26,7 +26,7 @@
 
 
 def closed_by_peer(sock: Any) -> bool:
-    """Tell whether the other side has closed a connection."""
+    """Whether the other side has closed the connection."""
     if not is_readable(sock):
         return False
     try:
--- a/packages/burdockchute/burdockchute/tasks.py
+++ b/packages/burdockchute/burdockchute/tasks.py
@@ -1,10 +1,10 @@
 """The long-running tasks of a process.
 
-A task that ends by an unforeseen error would leave a process that still
-holds its links and looks alive, but no longer follows the table, say. Its
-heartbeats go on, so nobody would notice but the callers. The whole process
-ends instead, with the event `task_failed`: its links close, its work moves
-to other instances, and the platform starts it anew.
+A task that ends with an unexpected error would leave a process that keeps its
+links open and sends heartbeats, but no longer follows the table, for example.
+Only callers would notice. The whole process ends instead, with the event
+`task_failed`: its links close, other instances take over its work, and the
+platform restarts it.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     loops: Iterable[Callable[[], None]], on_failure: Callable[[], None]
 ) -> list[gevent.Greenlet]:
     """Start each loop in a greenlet; call `on_failure` if one fails."""
-    return [gevent.spawn(_watched, loop, on_failure) for loop in loops]
+    return [gevent.spawn(_run, loop, on_failure) for loop in loops]
 
 
 def process_inbox(
@@ -36,10 +36,10 @@
     period_s: float,
     now: Callable[[], float],
 ) -> None:
-    """Handle messages for ever, and tick once in each period.
+    """Handle messages for ever, and call `tick` once per `period_s`.
 
-    It ticks also when there is always another message: what is due would
-    otherwise wait until the load is over.
+    It ticks even if the inbox never empties; otherwise timed work would wait
+    until the load is over.
     """
     next_tick = now() + period_s
     while True:
@@ -58,7 +58,7 @@
 def drain_inbox(
     inbox: queue.Queue, handle: Callable[[Any], None], wait_s: float
 ) -> None:
-    """Wait for a message, then handle it and all others that are there."""
+    """Handle all messages in the inbox; wait up to `wait_s` for a first."""
     try:
         message = inbox.get(timeout=wait_s)
     except queue.Empty:
@@ -71,7 +71,7 @@
             message = None
 
 
-def _watched(loop: Callable[[], Any], on_failure: Callable[[], None]) -> None:
+def _run(loop: Callable[[], Any], on_failure: Callable[[], None]) -> None:
     try:
         loop()
     except Exception:
