--- a/packages/burdockchute/burdockchute/__init__.py
+++ b/packages/burdockchute/burdockchute/__init__.py
@@ -1,6 +1,6 @@
 """burdockchute: weight distribution for bursts.
 
-The public types are gathered here; see docs/guide for how they are used.
+This package exports the public types; docs/guide describes their use.
 """
 
 from __future__ import annotations
--- a/packages/burdockchute/burdockchute/adapters.py
+++ b/packages/burdockchute/burdockchute/adapters.py
@@ -1,8 +1,8 @@
-"""The narrow interface between the product and a platform's protocol.
+"""The interface between this package and the protocol of a platform.
 
-An adapter only translates. It is found by its name among the entry points
-of the group `burdockchute.adapters`; the setting `platform` names it. A
-process without that setting speaks the project's own protocol.
+An adapter only translates. The setting `platform` names it, and it is loaded
+from the entry points of the group `burdockchute.adapters`. A process without
+that setting uses this project's own protocol.
 """
 
 from __future__ import annotations
@@ -37,13 +37,13 @@
 
 
 class Engine(Protocol):
-    """The engine on the own machine; each call waits for its answer."""
+    """The engine on the same machine; each call waits for its answer."""
 
     def report(self) -> Result[EngineReport, CallFailed]:
-        """Read what the engine holds and does."""
+        """Read the state of the engine."""
 
     def load(self, order: LoadOrder) -> OrderOutcome:
-        """Order the engine to load what is staged."""
+        """Order the engine to load the staged weights."""
 
     def staged(self, model: str, index: int) -> Result[bytes, CallFailed]:
         """Read one staged chunk."""
@@ -51,16 +51,16 @@
     def stage(
         self, model: str, index: int, data: bytes
     ) -> Result[bytes, CallFailed]:
-        """Put one chunk in place of what is staged there."""
+        """Replace one staged chunk."""
 
 
 class Origin(Protocol):
-    """The service that gives out weights."""
+    """The service that weights are downloaded from."""
 
     def manifest(
         self, model: str, version: int, digest: str
     ) -> Result[Manifest, CallFailed]:
-        """Read which chunks make up a version."""
+        """Read the manifest of a version, which lists its chunks."""
 
     def chunk(
         self, model: str, version: int, index: int
@@ -72,11 +72,11 @@
 
 
 class Adapter(NamedTuple):
-    """One platform.
+    """The adapter of one platform.
 
     `read_machine` reads the settings file at a path. `decode_request` raises
-    ValueError for a malformed header. `event_version` gives the version of
-    weights to which an event of a stream says that it changes.
+    ValueError for a malformed header. `event_version` returns the version of
+    weights to which a stream changes with an event, None if it doesn't.
     """
 
     read_machine: Callable[[str], Result[Machine, list[Finding]]]
@@ -92,7 +92,7 @@
 
 
 def load_adapter(name: str) -> Result[Adapter, Finding]:
-    """Load the adapter of that name."""
+    """Load the adapter of that name from the installed packages."""
     found = {
         point.name: point
         for point in metadata.entry_points(group=ENTRY_POINT_GROUP)
--- a/packages/burdockchute/burdockchute/commands.py
+++ b/packages/burdockchute/burdockchute/commands.py
@@ -1,4 +1,4 @@
-"""What the command lines of both binaries share."""
+"""The parts of the command line that both programs share."""
 
 from __future__ import annotations
 
@@ -36,17 +36,17 @@
 
 
 def add_process_commands(
-    subparsers: Any, settings: Sequence[Setting], what: str
+    subparsers: Any, settings: Sequence[Setting], program: str
 ) -> None:
-    """Add serve, check and status."""
-    serve = subparsers.add_parser('serve', help=f'run the {what}')
+    """Add the commands serve, check and status."""
+    serve = subparsers.add_parser('serve', help=f'run the {program}')
     base.add_flags(serve, settings)
     check = subparsers.add_parser(
         'check', help='check the settings and list every finding'
     )
     base.add_flags(check, settings)
     status = subparsers.add_parser(
-        'status', help='ask a running process what it holds and does'
+        'status', help='print the status of a running process'
     )
     base.add_flags(status, [ADMIN_URL])
 
@@ -56,7 +56,7 @@
     args: argparse.Namespace,
     environ: Mapping[str, str],
 ) -> dict[str, Any]:
-    """Give the values, or list all findings and exit with 2."""
+    """Return the values, or print all findings and exit with status 2."""
     result = base.read(settings, args, environ)
     if isinstance(result, Failure):
         _exit_with(result.failure())
@@ -87,7 +87,7 @@
     environ: Mapping[str, str],
     from_values: Callable[[dict[str, Any]], Any],
 ) -> int:
-    """Print the settings in force, one a line."""
+    """Print the settings in force, one per line."""
     cfg = from_values(read_or_exit(settings, args, environ))
     for name, value in cfg._asdict().items():
         print(f'{name}={value}')
@@ -101,28 +101,28 @@
     from_values: Callable[[dict[str, Any]], Any],
     serve: Callable[[Any], int],
 ) -> int:
-    """Run a process with checked settings; give its exit status."""
+    """Run a process with checked settings; return its exit status."""
     cfg = from_values(read_or_exit(settings, args, environ))
     logs.set_up(cfg.log_level, cfg.name)
     try:
         return serve(cfg)
     except (links.LinkError, OSError) as exc:
-        print(f'can not serve: {exc}', file=sys.stderr)
+        print(f'cannot serve: {exc}', file=sys.stderr)
         return EXIT_FAILED
 
 
 class Site(NamedTuple):
-    """Everything a process on a platform with an adapter starts from."""
+    """Settings, machine and adapter of a process on a platform."""
 
     cfg: SiteSettings
     machine: Machine
     adapter: Adapter
 
 
-def add_site_commands(subparsers: Any, what: str) -> None:
-    """Add serve-site and check-site."""
+def add_site_commands(subparsers: Any, program: str) -> None:
+    """Add the commands serve-site and check-site."""
     serve = subparsers.add_parser(
-        'serve-site', help=f'run the {what} on a platform with an adapter'
+        'serve-site', help=f'run the {program} on a platform with an adapter'
     )
     base.add_flags(serve, site_settings.SETTINGS)
     check = subparsers.add_parser(
@@ -135,7 +135,7 @@
 def read_site_or_exit(
     args: argparse.Namespace, environ: Mapping[str, str]
 ) -> Site:
-    """Give what a process starts from, or list all findings and exit."""
+    """Return the site, or print all findings and exit with status 2."""
     values = read_or_exit(site_settings.SETTINGS, args, environ)
     cfg = site_settings.from_values(values)
     adapter = adapters.load_adapter(cfg.platform)
@@ -148,7 +148,7 @@
 
 
 def check_site(args: argparse.Namespace, environ: Mapping[str, str]) -> int:
-    """Print the settings in force and the machine, one a line."""
+    """Print the settings in force and those of the machine, one per line."""
     site = read_site_or_exit(args, environ)
     for source in (site.cfg, site.machine):
         for name, value in source._asdict().items():
@@ -161,7 +161,7 @@
     environ: Mapping[str, str],
     serve: Callable[[Site], int],
 ) -> int:
-    """Run a process on a platform; give its exit status."""
+    """Run a process on a platform; return its exit status."""
     site = read_site_or_exit(args, environ)
     logs.set_up_bounded(site.cfg.log_level, site.machine.name)
     try:
@@ -171,6 +171,6 @@
         return EXIT_FAILED
 
 
-def _exit_with(found: Sequence[Finding]) -> NoReturn:
-    print(findings.render_all(found), file=sys.stderr)
+def _exit_with(invalid: Sequence[Finding]) -> NoReturn:
+    print(findings.render_all(invalid), file=sys.stderr)
     raise SystemExit(EXIT_BAD_INPUT)
