--- a/packages/burdockchute/burdockchute/nodes/fragments.py
+++ b/packages/burdockchute/burdockchute/nodes/fragments.py
@@ -78,7 +78,7 @@
         self._size += len(fragment.data)
         if self._size > wire.MAX_FRAME_BYTES:
             raise wire.WireError(
-                f'fragmented message of {self._size!r} bytes is too long'
+                f'fragments of {self._size!r} bytes are too long'
             )
         if not fragment.last:
             return None
--- a/packages/burdockchute/burdockchute/nodes/links.py
+++ b/packages/burdockchute/burdockchute/nodes/links.py
@@ -323,7 +323,7 @@
     sock.sendall(encode_frame(hello))
     peer = _read_message(sock)
     if not isinstance(peer, messages.Hello):
-        raise wire.WireError(f'got {type(peer).__name__} instead of Hello')
+        raise wire.WireError(f'got {type(peer).__name__} in place of Hello')
     if peer.protocol != PROTOCOL:
         raise wire.WireError(f'protocol {peer.protocol!r} is not {PROTOCOL!r}')
     link = Link(sock, peer, inbox)
@@ -348,7 +348,7 @@
     while len(data) < size:
         received = sock.recv(size - len(data))
         if not received:
-            raise OSError('connection closed before Hello')
+            raise OSError('connection closed before hello')
         data += received
     return data
 
--- a/packages/burdockchute/burdockchute/settings.py
+++ b/packages/burdockchute/burdockchute/settings.py
@@ -63,7 +63,7 @@
     return (
         Setting(
             'drain-s',
-            'maximum wait for requests in flight at shutdown',
+            'maximum wait for requests in flight when leaving',
             parse_seconds,
             '60',
         ),
