--- a/packages/burdockchute-agent/tests/test_rollouts.py
+++ b/packages/burdockchute-agent/tests/test_rollouts.py
@@ -33,7 +33,7 @@
         for number in range(count):
             place = Place(f'z{number % 3}', f'r{number % 2}', 'main')
             self.fleet.add(f'a{number}', place=place, **options)
-        self.fleet.tell_members()
+        self.fleet.send_members()
 
     def test_new_version_reaches_all_with_one_copy_from_the_origin(self):
         self.start(6)
@@ -53,8 +53,8 @@
         self.fleet.set_rows(story(digest))
         self.fleet.wait_open(digest)
         late = self.fleet.add('late')
-        self.fleet.tell_members()
-        self.fleet.tell_table(late)
+        self.fleet.send_members()
+        self.fleet.send_table(late)
         self.fleet.wait_open(digest)
         self.assertEqual(1.0, self.fleet.origin_copies(digest))
 
@@ -73,7 +73,7 @@
         self.fleet.wait_open(first)
         for agent in self.fleet.agents.values():
             self.fleet.wait_loaded(agent, {first})
-            self.fleet.wait_held(agent, 16 * CHUNK - 5)
+            self.fleet.wait_held_bytes(agent, 16 * CHUNK - 5)
 
     def test_version_replaced_during_its_copy_frees_its_memory(self):
         # The row names another version while megabytes of the previous one
@@ -133,13 +133,13 @@
         self.fleet.set_rows(story(first))
         self.fleet.wait_open(first)
         for agent in self.fleet.agents.values():
-            agent.fault(fail_orders=True)
+            agent.set_faults(fail_orders=True)
         self.fleet.set_rows(story(second))
         # Long enough for three orders with growing retry delays.
         gevent.sleep(8.0)
         for agent in self.fleet.agents.values():
             self.assertEqual({first}, agent.open_digests())
-            agent.fault()
+            agent.set_faults()
         self.fleet.wait_open(second)
 
     def test_adapter_opens_with_its_base(self):
@@ -150,7 +150,7 @@
             story(base), AdapterRow('rhymes', 'v', rhymes, 'story')
         )
         for agent in self.fleet.agents.values():
-            self.fleet.wait_opens(agent, {base, rhymes})
+            self.fleet.wait_open_digests(agent, {base, rhymes})
             gate = agent.task.gate
             self.assertIsNone(gate.enter('rhymes', base, rhymes))
 
@@ -200,7 +200,7 @@
     def test_origin_sends_corrupt_chunks(self):
         # The store's reply is corrupted in transit. The agent must read the
         # chunk again and never serve the corrupt one.
-        self.fleet.fault(corrupt=0.5, seed=3)
+        self.fleet.set_faults(corrupt=0.5, seed=3)
         self.fleet.add('a0')
         digest = self.fleet.publish()
         self.fleet.set_rows(story(digest))
@@ -214,10 +214,10 @@
         digest = self.fleet.publish()
         peer = self.fake_peer(digest, lambda index: b'x' * CHUNK)
         self.fleet.add('a0')
-        self.fleet.tell_members()
+        self.fleet.send_members()
         self.fleet.set_rows(story(digest))
         self.fleet.wait_open(digest)
-        self.assertLessEqual(len(peer.asked), 4)
+        self.assertLessEqual(len(peer.requested_chunks), 4)
 
     def test_stalled_peer_near_the_end_of_a_copy(self):
         # A link stalls after most chunks were received over it; it stays open
@@ -236,7 +236,7 @@
 
         self.fake_peer(digest, answer)
         self.fleet.add('a0')
-        self.fleet.tell_members()
+        self.fleet.send_members()
         self.fleet.set_rows(story(digest))
         self.fleet.wait_open(digest)
         self.assertEqual(13, len(sent))
@@ -247,37 +247,37 @@
         self.fleet = fleets.Fleet(self)
         for number in range(3):
             self.fleet.add(f'a{number}')
-        self.fleet.tell_members()
+        self.fleet.send_members()
 
     def test_recovered_store_is_not_overloaded(self):
         # The store fails in the middle of a copy. When it is back, every
         # agent has waited long enough to read it; if all of them did, the
         # store would have to send one copy to each.
         digest = self.fleet.publish(chunks=64)
-        self.fleet.fault(bytes_per_s=100_000)
+        self.fleet.set_faults(bytes_per_s=100_000)
         self.fleet.set_rows(story(digest))
         agents = self.fleet.agents.values()
         self.fleet.wait(
             lambda: all(agent.task.held_bytes() > 0 for agent in agents)
         )
-        self.fleet.fault(outage=True, bytes_per_s=100_000)
+        self.fleet.set_faults(outage=True, bytes_per_s=100_000)
         gevent.sleep(4.0)
-        self.fleet.fault(bytes_per_s=100_000)
+        self.fleet.set_faults(bytes_per_s=100_000)
         self.fleet.wait_open(digest)
         self.assertLessEqual(self.fleet.origin_copies(digest), 1.25)
 
     def test_store_is_down_when_a_version_is_named(self):
         digest = self.fleet.publish()
-        self.fleet.fault(outage=True)
+        self.fleet.set_faults(outage=True)
         self.fleet.set_rows(story(digest))
         gevent.sleep(1.0)
-        self.fleet.fault()
+        self.fleet.set_faults()
         self.fleet.wait_open(digest)
         self.assertLessEqual(self.fleet.origin_copies(digest), 1.5)
 
     def test_slow_store(self):
         digest = self.fleet.publish(chunks=4)
-        self.fleet.fault(slow_s=0.5)
+        self.fleet.set_faults(slow_s=0.5)
         self.fleet.set_rows(story(digest))
         self.fleet.wait_open(digest)
         self.assertEqual(1.0, self.fleet.origin_copies(digest))
@@ -285,7 +285,7 @@
     def test_lost_replies_of_the_store(self):
         # The store has sent and counted the bytes, but the reply is lost.
         digest = self.fleet.publish()
-        self.fleet.fault(lose_replies=0.5, seed=5)
+        self.fleet.set_faults(lose_replies=0.5, seed=5)
         self.fleet.set_rows(story(digest))
         self.fleet.wait_open(digest)
 
@@ -307,7 +307,7 @@
         ports = {}
         for name, agent in self.fleet.agents.items():
             ports[name] = self.relay_to(agent.member.port)
-        self.fleet.tell_members(ports)
+        self.fleet.send_members(ports)
 
     def relay_to(self, port: int) -> int:
         relay = Relay(port)
@@ -330,6 +330,6 @@
         for name in ('far0', 'far1'):
             self.assertEqual({first}, self.fleet.agents[name].open_digests())
         for relay in self.relays:
-            relay.mend()
+            relay.restore()
         self.fleet.wait_open(second, 'far0', 'far1')
         self.assertLess(self.fleet.origin_copies(second), 1.3)
--- a/packages/burdockchute-entry/tests/test_agents_task.py
+++ b/packages/burdockchute-entry/tests/test_agents_task.py
@@ -25,8 +25,8 @@
 from burdockchute.wire import messages
 from burdockchute_entry.straight.agents_task import AgentsTask
 from burdockchute_testing.builders.routing import FakeLink
-from burdockchute_testing.builders.upstreams import listed
 from burdockchute_testing.builders.upstreams import upstream
+from burdockchute_testing.builders.upstreams import upstream_list
 
 OWN = Member('front-1', 'entry', '127.0.0.1', 0, Place('z', 'r', ''))
 ADDRESS = Endpoint('10.0.0.1', 1)
@@ -130,7 +130,7 @@
         )
         self.known_state = self.known_state._replace(
             routes=routes,
-            upstreams=listed(upstream(endpoint=ADDRESS)),
+            upstreams=upstream_list(upstream(endpoint=ADDRESS)),
             upstreams_listed=True,
         )
         self.task._handle(self.known_state)
--- a/packages/burdockchute-entry/tests/test_crashes.py
+++ b/packages/burdockchute-entry/tests/test_crashes.py
@@ -28,7 +28,7 @@
     """Agents whose upstreams crash on the poison request and restart."""
 
     def __init__(self, names) -> None:
-        self.bench = routing.Bench(requests.table_of())
+        self.bench = routing.RouterTestBench(requests.table_of())
         self.links = {n: self.bench.agent(n, slots=16) for n in names}
         self.crashes = 0
         self.taken: dict[str, int] = dict.fromkeys(names, 0)
@@ -42,7 +42,7 @@
             self.crashes += crashes
             for dispatch in sent:
                 if crashes:
-                    self.bench.break_off(link, dispatch.request_id, True)
+                    self.bench.fail_request(link, dispatch.request_id, True)
                 else:
                     self.bench.answer(link, dispatch.request_id)
         self.bench.now += 2.0
@@ -110,12 +110,12 @@
         )
         kept = []
         for entry in ('e1', 'e2'):
-            bench = routing.Bench(requests.table_of(), name=entry)
+            bench = routing.RouterTestBench(requests.table_of(), name=entry)
             bench.router.handle(MembersChanged(entries))
             links = [bench.agent(name, slots=8) for name in 'abcdef']
             rid = bench.submit(good(1))
             first = next(link for link in links if link.dispatched())
-            bench.break_off(first, rid, crashed=True)
+            bench.fail_request(first, rid, crashed=True)
             kept.append(
                 {link.peer.name for link in links if link.dispatched()}
                 - {first.peer.name}
@@ -126,7 +126,7 @@
     def test_other_entries_refuse_it_too(self):
         # The caller sends the request again, and the load balancer picks
         # another entry.
-        bench = routing.Bench(requests.table_of())
+        bench = routing.RouterTestBench(requests.table_of())
         link = bench.agent('a')
         seen = CrashReport(POISON, 'x', True, True)
         bench.router.handle(PeerCrashReport(seen, 5.0))
@@ -137,17 +137,17 @@
     def test_crashes_at_two_entries_add_up(self):
         # Each entry sees one crash. Non-idempotent requests are not run
         # again, so neither entry would ever see a second one.
-        bench = routing.Bench(requests.table_of())
+        bench = routing.RouterTestBench(requests.table_of())
         link = bench.agent('a')
         bench.router.handle(
             PeerCrashReport(CrashReport(POISON, 'x', False, False), 5.0)
         )
         rid = bench.submit(poison())
-        bench.break_off(link, rid, crashed=True)
+        bench.fail_request(link, rid, crashed=True)
         self.assertEqual(1, len(link.dispatched()))
         bench.advance(2.0)
         bench.report(link)
-        bench.break_off(link, rid, crashed=True)
+        bench.fail_request(link, rid, crashed=True)
         self.assertIsInstance(bench.outcome(rid), Unknown)
         later = bench.submit(poison())
         self.assertIsInstance(bench.outcome(later), NotRun)
--- a/packages/burdockchute-entry/tests/test_load.py
+++ b/packages/burdockchute-entry/tests/test_load.py
@@ -10,7 +10,7 @@
 
 from burdockchute.model.outcomes import Answered
 from burdockchute.model.outcomes import NotRun
-from burdockchute_testing.builders import play
+from burdockchute_testing.builders import load_simulation
 from burdockchute_testing.builders import requests
 
 UNIT_S = 0.01
@@ -26,17 +26,17 @@
 
 def steady(run, per_s, seconds, **changes):
     for number in range(int(per_s * seconds)):
-        run.arrive(number / per_s, requests.request(**changes))
+        run.schedule_request(number / per_s, requests.request(**changes))
 
 
 def goodput(times_capacity: float) -> float:
-    run = play.Play(TABLE)
+    run = load_simulation.LoadSimulation(TABLE)
     for name in 'ab':
-        run.upstream(name, 4, UNIT_S)
+        run.add_upstream(name, 4, UNIT_S)
     per_s = times_capacity * 8 / SERVICE_S
     steady(run, per_s, 20, deadline=2.0)
     run.run(30)
-    return play.figures(run.bench.finished).answered / 20
+    return load_simulation.summarize(run.bench.finished).answered / 20
 
 
 class LoadTest(unittest.TestCase):
@@ -49,8 +49,8 @@
         self.assertGreater(peak, 0.9 * 8 / SERVICE_S)
 
     def test_refusals_are_immediate(self):
-        run = play.Play(TABLE)
-        run.upstream('a', 4, UNIT_S)
+        run = load_simulation.LoadSimulation(TABLE)
+        run.add_upstream('a', 4, UNIT_S)
         steady(run, 100, 10, deadline=2.0)
         run.run(20)
         refused = [
@@ -61,18 +61,18 @@
         self.assertGreater(len(refused), 100)
         self.assertTrue(all(one.outcome.retry_after_s for one in refused))
         waits = sorted(one.total_s for one in refused)
-        self.assertLess(play.quantile(waits, 0.5), 0.01)
+        self.assertLess(load_simulation.quantile(waits, 0.5), 0.01)
 
     def test_burst_is_worked_off(self):
         # 40 callers send a request at once. There is enough time for all, so
         # none is refused.
-        run = play.Play(TABLE)
+        run = load_simulation.LoadSimulation(TABLE)
         for name in 'ab':
-            run.upstream(name, 4, UNIT_S)
+            run.add_upstream(name, 4, UNIT_S)
         for _ in range(40):
-            run.arrive(1.0, requests.request(deadline=5.0))
+            run.schedule_request(1.0, requests.request(deadline=5.0))
         run.run(10)
-        got = play.figures(run.bench.finished)
+        got = load_simulation.summarize(run.bench.finished)
         self.assertEqual((40, 40), (got.sent, got.answered))
         self.assertLess(got.p95_s, 40 / 8 * SERVICE_S * 1.5)
 
@@ -80,13 +80,13 @@
         # One customer sends ten times what the instances can do; the requests
         # of another customer must be answered as before.
         def other_customer(flood_per_s):
-            run = play.Play(TABLE)
+            run = load_simulation.LoadSimulation(TABLE)
             for name in 'ab':
-                run.upstream(name, 4, UNIT_S)
+                run.add_upstream(name, 4, UNIT_S)
             steady(run, 5, 20, customer='sahyog', deadline=5.0)
             steady(run, flood_per_s, 20, customer='lindwurm', deadline=5.0)
             run.run(30)
-            return play.figures(
+            return load_simulation.summarize(
                 run.bench.finished, lambda ctx: ctx.customer == 'sahyog'
             )
 
@@ -97,67 +97,71 @@
 
     def test_limit_of_the_row_holds(self):
         row = LINDWURM._replace(requests_per_s=10, burst_s=2)
-        run = play.Play(requests.table_of(requests.STORY, row, SAHYOG))
-        run.upstream('a', 8, UNIT_S / 4)
+        run = load_simulation.LoadSimulation(
+            requests.table_of(requests.STORY, row, SAHYOG)
+        )
+        run.add_upstream('a', 8, UNIT_S / 4)
         steady(run, 50, 10)
         run.run(20)
-        got = play.figures(run.bench.finished)
+        got = load_simulation.summarize(run.bench.finished)
         self.assertLessEqual(got.answered, 10 * 10 + 20)
         self.assertGreaterEqual(got.answered, 10 * 10)
 
     def test_slow_upstream_gets_few_requests(self):
         # One instance is ten times slower than the others. With an equal
         # share of the requests, every fourth answer would be late.
-        run = play.Play(TABLE)
+        run = load_simulation.LoadSimulation(TABLE)
         for name in 'abc':
-            run.upstream(name, 4, UNIT_S)
-        slow = run.upstream('slow', 4, 10 * UNIT_S)
+            run.add_upstream(name, 4, UNIT_S)
+        slow = run.add_upstream('slow', 4, 10 * UNIT_S)
         steady(run, 30, 30, deadline=5.0)
         run.run(40)
-        got = play.figures(run.bench.finished)
+        got = load_simulation.summarize(run.bench.finished)
         self.assertEqual(got.sent, got.answered)
-        self.assertLess(slow.done, 0.05 * got.sent)
+        self.assertLess(slow.finished_count, 0.05 * got.sent)
         self.assertLess(got.p95_s, 2 * SERVICE_S)
 
     def test_upstream_that_turns_slow_is_avoided_and_used_again(self):
-        run = play.Play(TABLE)
-        turning = run.upstream('turning', 4, UNIT_S)
-        run.upstream('steady', 4, UNIT_S)
+        run = load_simulation.LoadSimulation(TABLE)
+        turning = run.add_upstream('turning', 4, UNIT_S)
+        run.add_upstream('steady', 4, UNIT_S)
         steady(run, 15, 90, deadline=5.0)
         run.run(20)
-        before = turning.done
+        before = turning.finished_count
         turning.unit_s = 20 * UNIT_S
         run.run(20)
-        meanwhile = turning.done - before
+        meanwhile = turning.finished_count - before
         turning.unit_s = UNIT_S
         run.run(50)
-        after = turning.done - before - meanwhile
+        after = turning.finished_count - before - meanwhile
         self.assertLess(meanwhile, 0.25 * 15 * 20)
         self.assertGreater(after, 0.25 * 15 * 50)
 
     def test_new_upstream_takes_its_share(self):
-        run = play.Play(TABLE)
-        run.upstream('a', 4, UNIT_S)
+        run = load_simulation.LoadSimulation(TABLE)
+        run.add_upstream('a', 4, UNIT_S)
         steady(run, 30, 30, deadline=2.0)
         run.run(10)
-        late = run.upstream('b', 4, UNIT_S)
+        late = run.add_upstream('b', 4, UNIT_S)
         run.run(30)
-        got = play.figures(
+        got = load_simulation.summarize(
             one
             for one in run.bench.finished
             if one.ctx.arrived > run.bench.now - 26
         )
         self.assertEqual(got.sent, got.answered)
-        self.assertGreater(late.done, 200)
+        self.assertGreater(late.finished_count, 200)
 
     def test_long_work_leaves_slots_for_short(self):
         # A batch of requests for 1000 tokens each arrives. Without a limit it
         # takes every slot, and a short request waits ten seconds for one.
         def short_requests(long_share):
             row = requests.STORY._replace(long_share=long_share)
-            run = play.Play(requests.table_of(row, LINDWURM, SAHYOG))
+            run = load_simulation.LoadSimulation(
+                requests.table_of(row, LINDWURM, SAHYOG)
+            )
             for name in 'ab':
-                run.upstream(name, 4, UNIT_S)
+                run.add_upstream(name, 4, UNIT_S)
             steady(run, 4, 20, customer='sahyog', deadline=20.0)
             steady(
                 run,
@@ -168,7 +172,7 @@
                 customer='lindwurm',
             )
             run.run(90)
-            return play.figures(
+            return load_simulation.summarize(
                 run.bench.finished, lambda ctx: ctx.max_tokens < 1000
             )
 
@@ -176,28 +180,32 @@
         self.assertGreater(short_requests(1.0).p95_s, 2.0)
 
     def test_higher_priority_goes_first_and_starves_no_customer(self):
-        run = play.Play(TABLE)
-        run.upstream('a', 4, UNIT_S)
+        run = load_simulation.LoadSimulation(TABLE)
+        run.add_upstream('a', 4, UNIT_S)
         steady(run, 24, 30, priority=0, deadline=20.0)
         steady(run, 4, 30, priority=-2, deadline=20.0)
         run.run(60)
-        low = play.figures(run.bench.finished, lambda ctx: ctx.priority == -2)
-        high = play.figures(run.bench.finished, lambda ctx: not ctx.priority)
+        low = load_simulation.summarize(
+            run.bench.finished, lambda ctx: ctx.priority == -2
+        )
+        high = load_simulation.summarize(
+            run.bench.finished, lambda ctx: not ctx.priority
+        )
         self.assertGreater(low.answered, 0.5 * low.sent)
         self.assertLess(high.p50_s, low.p50_s)
 
     def test_outage_does_not_multiply_the_load(self):
         # Every 0.3 s the instance drops its requests and restarts. Without a
         # retry budget each request would be retried until its deadline.
-        run = play.Play(TABLE)
-        current = [run.upstream('a', 8, UNIT_S)]
+        run = load_simulation.LoadSimulation(TABLE)
+        current = [run.add_upstream('a', 8, UNIT_S)]
 
         def restart():
             current[0].stop()
-            current[0] = run.upstream('a', 8, UNIT_S)
-            run.at(0.3, restart)
+            current[0] = run.add_upstream('a', 8, UNIT_S)
+            run.schedule(0.3, restart)
 
-        run.at(0.3, restart)
+        run.schedule(0.3, restart)
         steady(run, 40, 60, deadline=5.0)
         run.run(70)
         first = [one for one in run.bench.finished if one.attempts]
@@ -208,23 +216,23 @@
     def test_popular_prefixes_stay_cached_without_a_hot_spot(self):
         # All prompts start with the same long text. If all went to the one
         # instance that has it cached, the others would be idle.
-        run = play.Play(TABLE)
-        hosts = [run.upstream(name, 4, UNIT_S) for name in 'abcd']
+        run = load_simulation.LoadSimulation(TABLE)
+        hosts = [run.add_upstream(name, 4, UNIT_S) for name in 'abcd']
         prefixes = tuple(f'p{n}' for n in range(30))
         steady(
             run, 11, 20, prefixes=prefixes, prompt_tokens=1930, deadline=20.0
         )
         run.run(45)
-        got = play.figures(run.bench.finished)
+        got = load_simulation.summarize(run.bench.finished)
         self.assertEqual(got.sent, got.answered)
-        self.assertLess(max(h.done for h in hosts), 0.4 * got.sent)
+        self.assertLess(max(h.finished_count for h in hosts), 0.4 * got.sent)
 
     def test_every_request_gets_exactly_one_outcome(self):
-        run = play.Play(TABLE)
-        victim = run.upstream('a', 2, UNIT_S)
-        run.upstream('b', 2, UNIT_S)
+        run = load_simulation.LoadSimulation(TABLE)
+        victim = run.add_upstream('a', 2, UNIT_S)
+        run.add_upstream('b', 2, UNIT_S)
         steady(run, 40, 10, deadline=1.0)
-        run.at(5.0, victim.stop)
+        run.schedule(5.0, victim.stop)
         run.run(20)
         ids = [one.ctx.request_id for one in run.bench.finished]
         self.assertEqual(400, len(ids))
--- a/packages/burdockchute-entry/tests/test_router.py
+++ b/packages/burdockchute-entry/tests/test_router.py
@@ -25,7 +25,7 @@
 
 class RouterTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.bench = routing.Bench(requests.table_of())
+        self.bench = routing.RouterTestBench(requests.table_of())
 
     def only_dispatch(self, link):
         (dispatch,) = link.dispatched()
@@ -47,7 +47,7 @@
                 Part(b'%s-1' % rid.encode()),
                 Done(WHOLE),
             ],
-            self.bench.seen(rid),
+            self.bench.replies_to(rid),
         )
         self.assertEqual(0, self.bench.router.open_requests())
 
@@ -184,7 +184,7 @@
         """
         row = requests.STORY._replace(max_waiting=1)
         table = requests.table_of(row, requests.LINDWURM, requests.SAHYOG)
-        self.bench = routing.Bench(table)
+        self.bench = routing.RouterTestBench(table)
         first = self.bench.agent('a')
         lost = self.bench.submit(requests.request())
         self.bench.close(first)
@@ -239,7 +239,7 @@
 
 class VersionsTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.bench = routing.Bench(requests.table_of())
+        self.bench = routing.RouterTestBench(requests.table_of())
         self.old = self.bench.agent('a')
 
     def name_version(self, digest):
@@ -266,7 +266,7 @@
         self.assertGreater(len(self.old.dispatched()), 0)
 
     def test_adapter_needs_both_weights_as_the_table_named_them(self):
-        bench = routing.Bench(requests.table_of())
+        bench = routing.RouterTestBench(requests.table_of())
         plain = bench.agent('a')
         bench.submit(requests.request(kind='adapter', target='rhymes'))
         self.assertEqual([], plain.dispatched())
@@ -283,7 +283,7 @@
 class ClaimsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.claimed: list = []
-        self.bench = routing.Bench(
+        self.bench = routing.RouterTestBench(
             requests.table_of(), claim=self.claimed.append
         )
         self.link = self.bench.agent('a')
--- a/packages/burdockchute-entry/tests/test_table_task.py
+++ b/packages/burdockchute-entry/tests/test_table_task.py
@@ -248,7 +248,7 @@
         task, _published = self.task()
         self.wait_for(task.ready.is_set)
         self.lag_s = 30
-        self.wait_for(lambda: len(self.log.all_of('table')) == 2)
+        self.wait_for(lambda: len(self.log.all_records('table')) == 2)
         self.wait_for(lambda: task.status().snapshot_as_of == 0)
         self.log.trim('table', 1)
         fresh, _published = self.task()
--- a/packages/burdockchute-testing/burdockchute_testing/benches/engine_host.py
+++ b/packages/burdockchute-testing/burdockchute_testing/benches/engine_host.py
@@ -23,11 +23,13 @@
     parser.add_argument('--token-interval-s', type=float, default=0.005)
     parser.add_argument('--load-s', type=float, default=0.0)
     args = parser.parse_args()
-    pace = batch.Pace()._replace(token_interval_s=args.token_interval_s)
+    profile = batch.EngineProfile()._replace(
+        token_interval_s=args.token_interval_s
+    )
     servers = [
         serving.make_server(
             engine.Engine(
-                pace, load_s=args.load_s, seed=args.seed + number
+                profile, load_s=args.load_s, seed=args.seed + number
             ).handle,
             0,
         )
--- a/packages/burdockchute-testing/burdockchute_testing/benches/load.py
+++ b/packages/burdockchute-testing/burdockchute_testing/benches/load.py
@@ -204,13 +204,13 @@
 
 def measure_slow_upstream(bench: Bench) -> None:
     """One of the engines is five times slower than the others."""
-    bench.system.fault('engine-0', slow=5.0)
+    bench.system.set_faults('engine-0', slow=5.0)
     for policy in bench.policies():
         samples = bench.run(policy, _short(0.5))
         case = f'slow upstream, {policy.name}'
         _emit(case, 'good', _good(samples) / len(samples), '1')
         _emit_times(case, samples)
-    bench.system.fault('engine-0')
+    bench.system.set_faults('engine-0')
 
 
 def measure_flood(bench: Bench) -> None:
@@ -245,10 +245,10 @@
     """All engines break off each answer before its first token."""
     before = {run['request_id'] for run in bench.system.runs()}
     for name in bench.engines:
-        bench.system.fault(name, break_after=0)
+        bench.system.set_faults(name, break_after=0)
     bench.run(bench.policies()[0], _short(1.0))
     for name in bench.engines:
-        bench.system.fault(name)
+        bench.system.set_faults(name)
     runs = [
         run['request_id']
         for run in bench.system.runs()
--- a/packages/burdockchute-testing/burdockchute_testing/benches/rollout_fleet.py
+++ b/packages/burdockchute-testing/burdockchute_testing/benches/rollout_fleet.py
@@ -69,7 +69,7 @@
             self._spawn_agent(name, number, ports[number], link)
         for number, name in enumerate(self.names):
             self.system[name].wait_ports(serving_ports)
-            self.system.list_instance(name, 'agent', _spot(number))
+            self.system.list_instance(name, 'agent', _location(number))
         self.system.wait_ready('e1')
 
     def open_at(self, digest: str) -> dict[str, float]:
@@ -134,11 +134,11 @@
     def _spawn_agent(
         self, name: str, number: int, port: int, link: float
     ) -> None:
-        spot = _spot(number)
+        location = _location(number)
         values = {
             'name': name,
-            'zone': spot.zone,
-            'region': spot.region,
+            'zone': location.zone,
+            'region': location.region,
             'address': harness.ADDRESS,
             'log-url': self.system.url('log'),
             'store-url': self.system.url('store'),
@@ -190,9 +190,9 @@
     print(json.dumps(fields), flush=True)
 
 
-def _spot(number: int) -> harness.Spot:
+def _location(number: int) -> harness.Location:
     zone = number % ZONES
-    return harness.Spot(f'z{zone}', f'r{zone // ZONES_OF_REGION}')
+    return harness.Location(f'z{zone}', f'r{zone // ZONES_OF_REGION}')
 
 
 def _ports(host: Process) -> list[int]:
--- a/packages/burdockchute-testing/burdockchute_testing/benches/rollout_load.py
+++ b/packages/burdockchute-testing/burdockchute_testing/benches/rollout_load.py
@@ -63,12 +63,12 @@
             gevent.spawn(self._send, number)
 
     def _send(self, number: int) -> None:
-        ask = calls.completion(
+        spec = calls.completion(
             f'live-{number}',
             self._model,
             'a hare met a fox',
             max_tokens=TOKENS,
         )
         started = time.time()
-        call = calls.send(self._entry_url, BEARER, ask)
+        call = calls.send(self._entry_url, BEARER, spec)
         self.calls.append(call._replace(start=started))
--- a/packages/burdockchute-testing/burdockchute_testing/benches/table_rows.py
+++ b/packages/burdockchute-testing/burdockchute_testing/benches/table_rows.py
@@ -76,7 +76,7 @@
                 break
         log.append(table_log.STREAM, snapshot).unwrap()
         trim = {'stream': table_log.STREAM, 'before': table.offset + 1}
-        system.fault('log', trim=trim)
+        system.set_faults('log', trim=trim)
         started = time.monotonic()
         system.add_entry('fresh')
         system.wait_ready('fresh')
--- a/packages/burdockchute-testing/burdockchute_testing/builders/routing.py
+++ b/packages/burdockchute-testing/burdockchute_testing/builders/routing.py
@@ -38,7 +38,7 @@
         return [m for m in self.sent if isinstance(m, messages.Dispatch)]
 
 
-class Bench:
+class RouterTestBench:
     """A router at a time that the test sets."""
 
     def __init__(self, table: Table, **options: Any) -> None:
@@ -105,7 +105,7 @@
         end.update(changes)
         self.receive(link, messages.AnswerEnd(request_id, **end))
 
-    def break_off(
+    def fail_request(
         self, link: Any, request_id: str, crashed: bool = False
     ) -> None:
         """Let a request come to nothing after it was handed on."""
@@ -123,16 +123,18 @@
 
     def outcome(self, request_id: str) -> Outcome | None:
         """Give the final outcome, None while there is none."""
-        for reply in self.seen(request_id):
+        for reply in self.replies_to(request_id):
             if isinstance(reply, Done):
                 return reply.outcome
         return None
 
     def parts(self, request_id: str) -> list[bytes]:
         """Give the parts that reached the caller."""
-        return [r.data for r in self.seen(request_id) if isinstance(r, Part)]
+        return [
+            r.data for r in self.replies_to(request_id) if isinstance(r, Part)
+        ]
 
-    def seen(self, request_id: str) -> list[Any]:
+    def replies_to(self, request_id: str) -> list[Any]:
         """Give every reply so far."""
         return list(self.replies[request_id].queue)
 
--- a/packages/burdockchute-testing/burdockchute_testing/builders/upstreams.py
+++ b/packages/burdockchute-testing/burdockchute_testing/builders/upstreams.py
@@ -32,7 +32,7 @@
     return usual._replace(**changes)
 
 
-def listed(*upstreams: Upstream) -> UpstreamList:
+def upstream_list(*upstreams: Upstream) -> UpstreamList:
     """Give the list that names these."""
     found = listing.empty()
     for offset, each in enumerate(upstreams):
--- a/packages/burdockchute-testing/burdockchute_testing/calls.py
+++ b/packages/burdockchute-testing/burdockchute_testing/calls.py
@@ -20,7 +20,7 @@
 _OUTCOME_EVENT = 'outcome'
 
 
-class Ask(NamedTuple):
+class CallSpec(NamedTuple):
     """One request; `marker` stands in its text and in no other request's.
 
     Sending an ask again means the same work, so it keeps its marker and its
@@ -48,7 +48,7 @@
     first part of a stream, None if none came.
     """
 
-    ask: Ask
+    spec: CallSpec
     entry: str
     start: float
     end: float
@@ -66,14 +66,14 @@
 
 def completion(
     marker: str, target: str, words: str = '', **fields: Any
-) -> Ask:
+) -> CallSpec:
     """Give an ask for a completion whose prompt starts with its marker."""
-    return Ask(marker, target, f'{marker} {words}'.strip(), **fields)
+    return CallSpec(marker, target, f'{marker} {words}'.strip(), **fields)
 
 
-def service(marker: str, target: str, **fields: Any) -> Ask:
+def service(marker: str, target: str, **fields: Any) -> CallSpec:
     """Give an ask for a plain service whose body is its marker."""
-    return Ask(marker, target, marker, kind=SERVICE, **fields)
+    return CallSpec(marker, target, marker, kind=SERVICE, **fields)
 
 
 def new_key(marker: str, now: float) -> str:
@@ -84,15 +84,15 @@
 def send(
     entry_url: str,
     bearer: str,
-    ask: Ask,
+    spec: CallSpec,
     entry: str = '',
     timeout_s: float = 60.0,
 ) -> Call:
     """Send an ask to an entry and record what comes back."""
-    call = Call(ask, entry or entry_url, time.time(), 0.0)
-    url = entry_url + _path_of(ask)
+    call = Call(spec, entry or entry_url, time.time(), 0.0)
+    url = entry_url + _path_of(spec)
     try:
-        if ask.kind == COMPLETION and ask.stream:
+        if spec.kind == COMPLETION and spec.stream:
             call = _send_stream(call, url, bearer, timeout_s)
         else:
             call = _send_plain(call, url, bearer, timeout_s)
@@ -101,43 +101,43 @@
     return call._replace(end=time.time())
 
 
-def headers_of(ask: Ask, bearer: str) -> dict[str, str]:
+def request_headers(spec: CallSpec, bearer: str) -> dict[str, str]:
     """Give the request headers."""
     headers = {
         'Authorization': f'Bearer {bearer}',
         'Content-Type': 'application/json',
-        'Burdockchute-Deadline-Ms': str(ask.deadline_ms),
-        'Burdockchute-Idempotent': 'yes' if ask.idempotent else 'no',
+        'Burdockchute-Deadline-Ms': str(spec.deadline_ms),
+        'Burdockchute-Idempotent': 'yes' if spec.idempotent else 'no',
     }
-    if ask.key:
-        headers['Idempotency-Key'] = ask.key
+    if spec.key:
+        headers['Idempotency-Key'] = spec.key
     return headers
 
 
-def document_of(ask: Ask) -> dict[str, Any]:
+def completion_body(spec: CallSpec) -> dict[str, Any]:
     """Give the JSON body of a completion."""
     return {
-        'model': ask.target,
-        'adapter': ask.adapter,
-        'prompt': ask.text,
-        'max_tokens': ask.max_tokens,
-        'stream': ask.stream,
+        'model': spec.target,
+        'adapter': spec.adapter,
+        'prompt': spec.text,
+        'max_tokens': spec.max_tokens,
+        'stream': spec.stream,
     }
 
 
-def _path_of(ask: Ask) -> str:
-    if ask.kind == SERVICE:
-        return f'/v1/services/{ask.target}/work'
+def _path_of(spec: CallSpec) -> str:
+    if spec.kind == SERVICE:
+        return f'/v1/services/{spec.target}/work'
     return '/v1/completions'
 
 
 def _send_plain(call: Call, url: str, bearer: str, timeout_s: float) -> Call:
-    ask = call.ask
-    body = ask.text.encode()
-    if ask.kind == COMPLETION:
-        body = json.dumps(document_of(ask)).encode()
+    spec = call.spec
+    body = spec.text.encode()
+    if spec.kind == COMPLETION:
+        body = json.dumps(completion_body(spec)).encode()
     got = client.call(
-        ask.method, url, body, headers_of(ask, bearer), timeout_s
+        spec.method, url, body, request_headers(spec, bearer), timeout_s
     )
     call = _with_headers(call, got.status, got.headers)
     if got.status != 200:
@@ -150,7 +150,7 @@
 
 
 def _with_body(call: Call, document: dict[str, Any]) -> Call:
-    if call.ask.kind == SERVICE:
+    if call.spec.kind == SERVICE:
         return call._replace(text=document.get('echo', ''))
     digests = (document.get('digest', ''), document.get('adapter_digest', ''))
     return call._replace(
@@ -160,7 +160,10 @@
 
 def _send_stream(call: Call, url: str, bearer: str, timeout_s: float) -> Call:
     stream = client.Stream(
-        url, document_of(call.ask), headers_of(call.ask, bearer), timeout_s
+        url,
+        completion_body(call.spec),
+        request_headers(call.spec, bearer),
+        timeout_s,
     )
     try:
         call = _with_headers(call, stream.status, stream.headers)
--- a/packages/burdockchute-testing/burdockchute_testing/chaos.py
+++ b/packages/burdockchute-testing/burdockchute_testing/chaos.py
@@ -56,7 +56,7 @@
         count = 0
         while self.going_on:
             count += 1
-            self._send(rng, _ask(rng, f'c{number}-{count}'))
+            self._send(rng, _random_spec(rng, f'c{number}-{count}'))
             gevent.sleep(rng.uniform(0, 0.1))
 
     def strike_on(self, number: int, seconds: float) -> None:
@@ -74,12 +74,12 @@
             rng.choice(faults)(rng)
             gevent.sleep(rng.uniform(0, 1.0))
 
-    def _send(self, rng: random.Random, ask: calls.Ask) -> None:
+    def _send(self, rng: random.Random, spec: calls.CallSpec) -> None:
         for _sending in range(SENDINGS):
-            call = self.site.send(rng.choice(ENTRIES), ask)
+            call = self.site.send(rng.choice(ENTRIES), spec)
             if call.outcome == calls.ANSWERED:
                 return
-            if call.outcome == calls.UNKNOWN and ask.idempotent:
+            if call.outcome == calls.UNKNOWN and spec.idempotent:
                 return
             gevent.sleep(0.3)
 
@@ -98,9 +98,9 @@
         fault = rng.choice(choices.get(name, ENGINE_FAULTS))
         with self._striking(name, str(fault)) as free:
             if free:
-                self.site.system.fault(name, **fault)
+                self.site.system.set_faults(name, **fault)
                 gevent.sleep(rng.uniform(1, 5))
-                self.site.system.fault(name)
+                self.site.system.set_faults(name)
 
     def _switch(self, _rng: random.Random) -> None:
         with self._striking('row', 'switch') as free:
@@ -164,7 +164,7 @@
     chaos.going_on = False
     finish(callers)
     outcomes = collections.Counter(
-        f'{call.ask.kind} {call.outcome}' for call in site.calls
+        f'{call.spec.kind} {call.outcome}' for call in site.calls
     )
     for name, count in sorted(outcomes.items()):
         _say(f'{count:6d} {name}')
@@ -176,7 +176,7 @@
     return 1 if wrong else 0
 
 
-def _ask(rng: random.Random, marker: str) -> calls.Ask:
+def _random_spec(rng: random.Random, marker: str) -> calls.CallSpec:
     if rng.random() < 0.25:
         key = calls.new_key(marker, time.time())
         return calls.service(
--- a/packages/burdockchute-testing/burdockchute_testing/demo.py
+++ b/packages/burdockchute-testing/burdockchute_testing/demo.py
@@ -29,7 +29,7 @@
 from burdockchute_testing import harness  # noqa: E402
 from burdockchute_testing import history  # noqa: E402
 from burdockchute_testing.calls import Call  # noqa: E402
-from burdockchute_testing.harness import Spot  # noqa: E402
+from burdockchute_testing.harness import Location  # noqa: E402
 from burdockchute_testing.harness import System  # noqa: E402
 
 SIZE = 24 * 1024 * 1024
@@ -42,10 +42,10 @@
 SEED = 1
 PROGRESS_S = 1.0
 
-GRAZ = Spot('graz-1', 'graz', 'story')
-VIENNA = Spot('vienna-1', 'vienna', 'story')
-SURAT = Spot('surat-1', 'gujarat', 'letters')
-PROOFS = Spot('graz-1', 'graz', 'proofs')
+GRAZ = Location('graz-1', 'graz', 'story')
+VIENNA = Location('vienna-1', 'vienna', 'story')
+SURAT = Location('surat-1', 'gujarat', 'letters')
+PROOFS = Location('graz-1', 'graz', 'proofs')
 
 ENGINES = (
     ('story-1', GRAZ),
@@ -76,11 +76,13 @@
         self.digests: dict[str, str] = {}
         self.traffic_on = True
 
-    def ask(self, caller: Caller, ask: calls.Ask) -> Call:
+    def send_until_run(self, caller: Caller, spec: calls.CallSpec) -> Call:
         """Send until it ran, as a caller does who heeds not-run."""
         url = self.system.url(caller.entry, 'http_port')
         for _sending in range(SENDINGS):
-            call = calls.send(url, BEARERS[caller.customer], ask, caller.entry)
+            call = calls.send(
+                url, BEARERS[caller.customer], spec, caller.entry
+            )
             self.calls.append(call)
             if call.outcome != calls.NOT_RUN:
                 break
@@ -97,14 +99,14 @@
         count = 0
         while self.traffic_on:
             count += 1
-            ask = calls.completion(
+            spec = calls.completion(
                 f't{number}-{count}',
                 'story',
                 'a hare met a fox',
                 max_tokens=rng.randint(5, 40),
                 stream=rng.random() < 0.5,
             )
-            self.ask(caller, ask)
+            self.send_until_run(caller, spec)
             gevent.sleep(rng.uniform(0.01, 0.1))
 
 
@@ -132,13 +134,13 @@
     )
     system.add_entry('entry-1', GRAZ._replace(pool='entry'))
     system.add_entry('entry-2', VIENNA._replace(pool='entry'))
-    for number, (name, spot) in enumerate(ENGINES):
+    for number, (name, location) in enumerate(ENGINES):
         # Some deployments check fencing numbers and others don't.
         system.add_engine(name, ignores_fencing=number % 2 == 1, seed=number)
         system.add_agent(
             f'agent-{name}',
             name,
-            spot,
+            location,
             uplink_bytes_per_s=LINK_BYTES_PER_S,
             downlink_bytes_per_s=LINK_BYTES_PER_S,
         )
@@ -251,19 +253,19 @@
     )
     _say('callers send requests')
     _say(f'  {"request":<11}{"entry":<9}{"as":<22}{"outcome":<10}digest')
-    for caller, ask in examples:
-        _show(demo.ask(caller, ask))
+    for caller, spec in examples:
+        _show(demo.send_until_run(caller, spec))
 
 
 def _show(call: Call) -> None:
-    ask = call.ask
-    manner = 'streamed' if ask.stream else 'plain'
-    once = '' if ask.idempotent else ', non-idempotent'
+    spec = call.spec
+    manner = 'streamed' if spec.stream else 'plain'
+    once = '' if spec.idempotent else ', non-idempotent'
     digests = call.digest[:12]
     if call.adapter_digest:
         digests += f' + {call.adapter_digest[:12]}'
     _say(
-        f'  {ask.marker:<11}{call.entry:<9}{manner + once:<22} '
+        f'  {spec.marker:<11}{call.entry:<9}{manner + once:<22} '
         f'{call.outcome:<9} {digests or call.error or "-"}'
     )
 
@@ -310,10 +312,10 @@
         tuple(demo.calls), history.runs_of(demo.system.runs())
     )
     wrong = history.check(recorded)
-    last = {call.ask.marker: call for call in demo.calls}
+    last = {call.spec.marker: call for call in demo.calls}
     for call in last.values():
         if call.outcome != calls.ANSWERED:
-            wrong.append(Finding(call.ask.marker, f'not answered: {call}'))
+            wrong.append(Finding(call.spec.marker, f'not answered: {call}'))
     for name, status in statuses.items():
         if status:
             wrong.append(Finding(name, f'exited with {status}'))
--- a/packages/burdockchute-testing/burdockchute_testing/fakes/fleet.py
+++ b/packages/burdockchute-testing/burdockchute_testing/fakes/fleet.py
@@ -102,7 +102,7 @@
         state = _ask(self.engine.handle, '/state')
         return {item['digest'] for item in state['loaded']}
 
-    def fault(self, **faults: Any) -> None:
+    def set_faults(self, **faults: Any) -> None:
         """Set the faults of the engine; none makes it whole."""
         body = json.dumps(faults).encode()
         self.engine.handle(serving.Request('POST', '/faults', {}, {}, body))
@@ -121,7 +121,7 @@
     def _serve_weights(self, request: serving.Request) -> serving.Reply:
         held = self.task.weights_response(request.path.rpartition('/')[2])
         if held is None:
-            return serving.as_json(404, {})
+            return serving.json_reply(404, {})
         manifest, chunks = held
         header = ('Burdockchute-Manifest', manifest_header(manifest))
         return serving.Reply(200, chunks, 'text/plain', (header,))
@@ -144,7 +144,7 @@
         manifest: bytes | None = None,
     ) -> None:
         self.name = name
-        self.asked: list[int] = []
+        self.requested_chunks: list[int] = []
         self._digest = digest
         self._count = count
         self._answer = answer
@@ -186,7 +186,7 @@
         if request.index < 0:
             data = self._manifest
         else:
-            self.asked.append(request.index)
+            self.requested_chunks.append(request.index)
             data = self._answer(request.index)
         if data is not None:
             event.link.send(
@@ -207,7 +207,7 @@
         self._table = Table(0, MappingProxyType({}))
 
     def add(self, name: str, **options: Any) -> Agent:
-        """Start one more agent; `tell_members` makes it known."""
+        """Start one more agent; `send_members` makes it known."""
         options.setdefault('store_url', self.store_url)
         agent = Agent(self._case, name, **options)
         self.agents[name] = agent
@@ -226,7 +226,7 @@
             }
         )
 
-    def fault(self, **faults: Any) -> None:
+    def set_faults(self, **faults: Any) -> None:
         """Set the faults of the store; none makes it whole."""
         body = json.dumps(faults).encode()
         reply = self.store.handle(
@@ -234,7 +234,7 @@
         )
         self._case.assertEqual(200, reply.status)
 
-    def tell_members(self, relays: dict[str, int] | None = None) -> None:
+    def send_members(self, relays: dict[str, int] | None = None) -> None:
         """Tell everyone of all agents and of the others.
 
         `relays` has ports by which agents of other regions are reached.
@@ -255,16 +255,16 @@
         for agent in self.agents.values():
             agent.task.inbox.put(TableChanged(self._table))
 
-    def tell_table(self, agent: Agent) -> None:
+    def send_table(self, agent: Agent) -> None:
         """Put the present table in force at an agent that came later."""
         agent.task.inbox.put(TableChanged(self._table))
 
     def wait_open(self, digest: str, *names: str) -> None:
         """Wait until exactly this digest is open at these agents, or all."""
         for name in names or tuple(self.agents):
-            self.wait_opens(self.agents[name], {digest})
+            self.wait_open_digests(self.agents[name], {digest})
 
-    def wait_opens(self, agent: Agent, digests: set[str]) -> None:
+    def wait_open_digests(self, agent: Agent, digests: set[str]) -> None:
         """Wait until exactly these digests are open at an agent."""
         self.wait(lambda: agent.open_digests() == digests)
 
@@ -272,7 +272,7 @@
         """Wait until an agent's engine has exactly these loaded."""
         self.wait(lambda: agent.loaded() == digests)
 
-    def wait_held(self, agent: Agent, size: int) -> None:
+    def wait_held_bytes(self, agent: Agent, size: int) -> None:
         """Wait until an agent's copies take so many bytes."""
         self.wait(lambda: agent.task.held_bytes() == size)
 
--- a/packages/burdockchute-testing/burdockchute_testing/fakes/log.py
+++ b/packages/burdockchute-testing/burdockchute_testing/fakes/log.py
@@ -89,6 +89,6 @@
         """Let retention pass every record before an offset."""
         self._earliest[stream] = earliest
 
-    def all_of(self, stream: str) -> list[str]:
+    def all_records(self, stream: str) -> list[str]:
         """Give every record ever appended."""
         return list(self._streams.get(stream, []))
--- a/packages/burdockchute-testing/burdockchute_testing/fakes/relay.py
+++ b/packages/burdockchute-testing/burdockchute_testing/fakes/relay.py
@@ -44,7 +44,7 @@
         self._is_cut = True
         self.forget()
 
-    def mend(self) -> None:
+    def restore(self) -> None:
         """Carry bytes of new connections again; the old ones are lost."""
         self._is_cut = False
 
--- a/packages/burdockchute-testing/burdockchute_testing/forwarder.py
+++ b/packages/burdockchute-testing/burdockchute_testing/forwarder.py
@@ -44,7 +44,7 @@
     of a process on the same machine, which shares no link with others.
 
     >>> forwarder = Forwarder(8080)  # doctest: +SKIP
-    >>> forwarder.cut(back=False)  # doctest: +SKIP
+    >>> forwarder.cut(backward=False)  # doctest: +SKIP
     """
 
     def __init__(
@@ -58,8 +58,8 @@
             Address(ADDRESS, target) if isinstance(target, int) else target
         )
         self._exempt = exempt
-        self._there = _open_gate()
-        self._back = _open_gate()
+        self._forward_gate = _open_gate()
+        self._backward_gate = _open_gate()
         self._socks: list[Any] = []
         self._server = server.StreamServer(own, self._handle)
         self._server.start()
@@ -79,19 +79,19 @@
         """Give the URL to connect to."""
         return f'http://{self.address}'
 
-    def cut(self, there: bool = True, back: bool = True) -> None:
-        """Let nothing through any more, `there` to the target or `back`."""
-        if there:
-            self._there.clear()
-        if back:
-            self._back.clear()
+    def cut(self, forward: bool = True, backward: bool = True) -> None:
+        """Drop all bytes towards the target, back from it, or both ways."""
+        if forward:
+            self._forward_gate.clear()
+        if backward:
+            self._backward_gate.clear()
 
     def heal(self) -> None:
         """Let everything through; breaks the connections from before."""
         self.delay_s = 0.0
         self.reset()
-        self._there.set()
-        self._back.set()
+        self._forward_gate.set()
+        self._backward_gate.set()
 
     def reset(self) -> None:
         """Break all connections but those that are exempt."""
@@ -110,7 +110,7 @@
             first = near.recv(_READ_BYTES)
             exempt = self._exempt(first)
             if not exempt:
-                self._there.wait()
+                self._forward_gate.wait()
             far = socket.create_connection(self._target)
         except OSError:
             near.close()
@@ -118,23 +118,25 @@
         if exempt:
             self._join(near, far, first, _open_gate(), _open_gate(), False)
         else:
-            self._join(near, far, first, self._there, self._back, True)
+            self._join(
+                near, far, first, self._forward_gate, self._backward_gate, True
+            )
 
     def _join(
         self,
         near: Any,
         far: Any,
         first: bytes,
-        there: event.Event,
-        back: event.Event,
+        forward: event.Event,
+        backward: event.Event,
         delays: bool,
     ) -> None:
         if delays:
             self._socks.append(far)
         elif near in self._socks:
             self._socks.remove(near)
-        answers = gevent.spawn(self._pump, far, near, b'', back, delays)
-        self._pump(near, far, first, there, delays)
+        answers = gevent.spawn(self._pump, far, near, b'', backward, delays)
+        self._pump(near, far, first, forward, delays)
         answers.join()
         self._socks = [s for s in self._socks if s not in (near, far)]
 
--- a/packages/burdockchute-testing/burdockchute_testing/harness.py
+++ b/packages/burdockchute-testing/burdockchute_testing/harness.py
@@ -38,7 +38,7 @@
 ValueT = TypeVar('ValueT')
 
 
-class Spot(NamedTuple):
+class Location(NamedTuple):
     """Where an instance stands."""
 
     zone: str = 'graz-1'
@@ -54,7 +54,7 @@
     err: str
 
 
-class Waited(Exception):  # noqa: N818
+class WaitTimeout(Exception):  # noqa: N818
     """Something did not happen in the generous time that it was given."""
 
 
@@ -128,12 +128,17 @@
             name, 'service', {'service': service, **options}
         )
 
-    def add_entry(self, name: str, spot: Spot = Spot(), **options: Any) -> str:  # noqa: B008
+    def add_entry(
+        self,
+        name: str,
+        location: Location = Location(),  # noqa: B008
+        **options: Any,
+    ) -> str:
         """Start and list an entry; give the URL for callers."""
         settings = {
             'name': name,
-            'zone': spot.zone,
-            'region': spot.region,
+            'zone': location.zone,
+            'region': location.region,
             'address': ADDRESS,
             'log_url': self.url('log'),
             'instances_url': self.url('instances'),
@@ -141,7 +146,7 @@
         }
         command = [_binary('burdockchute-entry'), 'serve', *_flags(settings)]
         self._start(name, command, processes.serving_ports)
-        self.list_instance(name, 'entry', spot)
+        self.list_instance(name, 'entry', location)
         self.entries.append(name)
         return self.url(name, 'http_port')
 
@@ -149,7 +154,7 @@
         self,
         name: str,
         upstream: str,
-        spot: Spot = Spot(),  # noqa: B008
+        location: Location = Location(),  # noqa: B008
         services: str = '',
         listed: bool = True,
         **options: Any,
@@ -157,9 +162,9 @@
         """Start and list an agent beside an upstream of that name."""
         settings = {
             'name': name,
-            'zone': spot.zone,
-            'region': spot.region,
-            'pool': spot.pool,
+            'zone': location.zone,
+            'region': location.region,
+            'pool': location.pool,
             'address': ADDRESS,
             'log_url': self.url('log'),
             'store_url': self.url('store'),
@@ -171,14 +176,14 @@
         command = [_binary('burdockchute-agent'), 'serve', *_flags(settings)]
         self._start(name, command, processes.serving_ports)
         if listed:
-            self.list_instance(name, 'agent', spot)
+            self.list_instance(name, 'agent', location)
         self.agents.append(name)
 
     def list_instance(
         self,
         name: str,
         role: str,
-        spot: Spot = Spot(),  # noqa: B008
+        location: Location = Location(),  # noqa: B008
         state: str = 'live',
         port: int = 0,
     ) -> None:
@@ -191,7 +196,7 @@
             'role': role,
             'address': ADDRESS,
             'port': port or self.processes[name].ports['link_port'],
-            **spot._asdict(),
+            **location._asdict(),
             'state': state,
         }
         client.post(f'{self.url("instances")}/instances', instance)
@@ -200,7 +205,7 @@
         """Take an instance out of the platform's list."""
         client.call('DELETE', f'{self.url("instances")}/instances/{name}')
 
-    def fault(self, name: str, **faults: Any) -> None:
+    def set_faults(self, name: str, **faults: Any) -> None:
         """Set the faults of a stand-in; none makes it whole."""
         answer = client.post(f'{self.url(name)}/faults', faults)
         if answer.status != 200:
@@ -314,7 +319,7 @@
         if value:
             return value
         if time.monotonic() > until:
-            raise Waited(f'not within {timeout_s:.0f} s: {what}')
+            raise WaitTimeout(f'not within {timeout_s:.0f} s: {what}')
         time.sleep(_POLL_S)
 
 
--- a/packages/burdockchute-testing/burdockchute_testing/history.py
+++ b/packages/burdockchute-testing/burdockchute_testing/history.py
@@ -42,7 +42,7 @@
     adapter_digest: str = ''
 
 
-class Leave(NamedTuple):
+class GracefulStop(NamedTuple):
     """An upstream left gracefully from `at` on, seconds."""
 
     upstream: str
@@ -59,7 +59,7 @@
 
     calls: tuple[Call, ...]
     runs: tuple[Run, ...]
-    leaves: tuple[Leave, ...] = ()
+    graceful_stops: tuple[GracefulStop, ...] = ()
     digests: frozenset[str] = frozenset()
     killed: frozenset[str] = frozenset()
 
@@ -70,13 +70,13 @@
     known = {c.request_id for c in history.calls if c.request_id}
     found: list[Finding] = []
     for call in history.calls:
-        runs = by_marker[call.ask.marker]
+        runs = by_marker[call.spec.marker]
         found.extend(_check_answer(call, runs, history.digests))
         found.extend(_check_not_run(call, runs, known))
         found.extend(_check_final(call, history.killed))
     found.extend(_check_once(history.calls, by_marker))
-    for leave in history.leaves:
-        found.extend(_check_leave(leave, history))
+    for graceful_stop in history.graceful_stops:
+        found.extend(_check_graceful_stop(graceful_stop, history))
     return sorted(found)
 
 
@@ -98,7 +98,7 @@
 
 
 def _runs_by_marker(history: History) -> dict[str, list[Run]]:
-    markers = {call.ask.marker for call in history.calls}
+    markers = {call.spec.marker for call in history.calls}
     found: dict[str, list[Run]] = collections.defaultdict(list)
     for run in history.runs:
         marker = run.text.partition(' ')[0]
@@ -113,8 +113,8 @@
     if call.outcome != calls.ANSWERED or call.status != 200:
         return
     place = _place(call)
-    if call.ask.kind == calls.SERVICE:
-        if call.text != call.ask.text:
+    if call.spec.kind == calls.SERVICE:
+        if call.text != call.spec.text:
             yield Finding(place, 'the answer is not its own')
     else:
         yield from _check_completion(place, call, digests)
@@ -135,7 +135,7 @@
     if digests and call.digest not in digests:
         yield Finding(place, f'{call.digest[:8]} was never in the table')
     expected = answers.expected_text(
-        call.digest, call.adapter_digest, call.ask.text, call.ask.max_tokens
+        call.digest, call.adapter_digest, call.spec.text, call.spec.max_tokens
     )
     if call.text == expected:
         return
@@ -179,7 +179,7 @@
 def _check_once(
     made: Iterable[Call], by_marker: Mapping[str, list[Run]]
 ) -> Iterator[Finding]:
-    guarded = {call.ask.marker for call in made if not call.ask.idempotent}
+    guarded = {call.spec.marker for call in made if not call.spec.idempotent}
     for marker in sorted(guarded):
         runs = by_marker[marker]
         if len(runs) > 1:
@@ -187,15 +187,17 @@
             yield Finding(marker, f'ran {len(runs)} times: {where}')
 
 
-def _check_leave(leave: Leave, history: History) -> Iterator[Finding]:
+def _check_graceful_stop(
+    graceful_stop: GracefulStop, history: History
+) -> Iterator[Finding]:
     for run in history.runs:
-        if run.upstream != leave.upstream:
+        if run.upstream != graceful_stop.upstream:
             continue
         place = f'{run.upstream}:{run.text.partition(" ")[0]}'
-        if run.start > leave.at + LEAVING_GRACE_S:
-            late = run.start - leave.at
+        if run.start > graceful_stop.at + LEAVING_GRACE_S:
+            late = run.start - graceful_stop.at
             yield Finding(place, f'began {late:.1f} s after leaving began')
-        in_flight = run.end is None or run.end >= leave.at
+        in_flight = run.end is None or run.end >= graceful_stop.at
         if in_flight and run.how != recording.FINISHED:
             yield Finding(place, f'was cut off by leaving: {run.how}')
 
@@ -209,7 +211,7 @@
 
 
 def _place(call: Call) -> str:
-    return f'{call.ask.marker}@{call.entry}'
+    return f'{call.spec.marker}@{call.entry}'
 
 
 def _short(pairs: Iterable[tuple[str, str]]) -> list[str]:
--- a/packages/burdockchute-testing/burdockchute_testing/processes.py
+++ b/packages/burdockchute-testing/burdockchute_testing/processes.py
@@ -94,7 +94,7 @@
         """Ask it to end gracefully."""
         self._signal(signal.SIGTERM)
 
-    def catches_hang_up(self) -> bool:
+    def handles_sighup(self) -> bool:
         """Tell whether it has a handler for a request to reload by now."""
         try:
             status = pathlib.Path(f'/proc/{self.pid}/status').read_text()
@@ -105,7 +105,7 @@
         bit = 1 << (signal.SIGHUP - 1)
         return caught is not None and bool(int(caught[1], 16) & bit)
 
-    def hang_up(self) -> None:
+    def send_sighup(self) -> None:
         """Ask it to read its settings again."""
         self._signal(signal.SIGHUP)
 
--- a/packages/burdockchute-testing/burdockchute_testing/site.py
+++ b/packages/burdockchute-testing/burdockchute_testing/site.py
@@ -13,8 +13,8 @@
 from burdockchute_testing import calls
 from burdockchute_testing import harness
 from burdockchute_testing import history
-from burdockchute_testing.calls import Ask
 from burdockchute_testing.calls import Call
+from burdockchute_testing.calls import CallSpec
 from burdockchute_testing.fakes.relay import Relay
 from burdockchute_testing.harness import System
 
@@ -41,7 +41,7 @@
     ) -> None:
         self.system = System()
         self.calls: list[Call] = []
-        self.leaves: list[history.Leave] = []
+        self.graceful_stops: list[history.GracefulStop] = []
         self.killed: set[str] = set()
         self.digests: dict[str, str] = {}
         self.all_digests: set[str] = set()
@@ -101,25 +101,27 @@
             f'{digest[:8]} is open on {names}',
         )
 
-    def send(self, entry: str, ask: Ask) -> Call:
+    def send(self, entry: str, spec: CallSpec) -> Call:
         """Send an ask once and record it."""
         url = self.system.url(entry, 'http_port')
-        call = calls.send(url, BEARER, ask, entry)
+        call = calls.send(url, BEARER, spec, entry)
         self.calls.append(call)
         return call
 
-    def spawn(self, entry: str, ask: Ask) -> gevent.Greenlet:
+    def spawn(self, entry: str, spec: CallSpec) -> gevent.Greenlet:
         """Send an ask in a greenlet, which gives the call."""
-        return gevent.spawn(self.send, entry, ask)
+        return gevent.spawn(self.send, entry, spec)
 
-    def send_all(self, asks: Iterable[tuple[str, Ask]]) -> list[Call]:
+    def send_all(self, specs: Iterable[tuple[str, CallSpec]]) -> list[Call]:
         """Send many at once and give the calls in the same order."""
-        return finish(self.spawn(entry, ask) for entry, ask in asks)
+        return finish(self.spawn(entry, spec) for entry, spec in specs)
 
-    def insist(self, entry: str, ask: Ask, sendings: int = 30) -> Call:
+    def send_until_run(
+        self, entry: str, spec: CallSpec, sendings: int = 30
+    ) -> Call:
         """Send again while the answer is not-run, as callers may."""
         for _sending in range(sendings):
-            call = self.send(entry, ask)
+            call = self.send(entry, spec)
             if call.outcome != calls.NOT_RUN:
                 break
             gevent.sleep(0.5)
@@ -130,9 +132,9 @@
         self.killed.add(name)
         self.system[name].kill()
 
-    def leave(self, upstream: str) -> None:
+    def stop_agent(self, upstream: str) -> None:
         """Let the agent of an upstream leave gracefully."""
-        self.leaves.append(history.Leave(upstream, time.time()))
+        self.graceful_stops.append(history.GracefulStop(upstream, time.time()))
         self.system[f'a{upstream}'].terminate()
 
     def history(self) -> history.History:
@@ -140,7 +142,7 @@
         return history.History(
             tuple(self.calls),
             history.runs_of(self.system.runs()),
-            tuple(self.leaves),
+            tuple(self.graceful_stops),
             frozenset(self.all_digests),
             frozenset(self.killed),
         )
--- a/packages/burdockchute-testing/burdockchute_testing/standins/batch.py
+++ b/packages/burdockchute-testing/burdockchute_testing/standins/batch.py
@@ -22,7 +22,7 @@
 from burdockchute_testing.standins import recording
 
 
-class Pace(NamedTuple):
+class EngineProfile(NamedTuple):
     """How fast an engine is.
 
     With all slots taken a token takes `batch_cost` of the interval longer.
@@ -91,13 +91,13 @@
 
     def __init__(
         self,
-        pace: Pace,
+        profile: EngineProfile,
         cache: prefix_cache.PrefixCache,
         record: recording.Recording,
         clock: Callable[[], float],
         faults: Callable[[], dict[str, Any]],
     ) -> None:
-        self.pace = pace
+        self.profile = profile
         self.generated = 0
         self._cache = cache
         self._recording = record
@@ -118,8 +118,8 @@
 
     def submit(self, work: Work) -> Run | None:
         """Take a request; None if the queue is full."""
-        full = len(self._running) >= self.pace.slots
-        if full and self.waiting() >= self.pace.max_waiting:
+        full = len(self._running) >= self.profile.slots
+        if full and self.waiting() >= self.profile.max_waiting:
             return None
         run = Run(work, self.record(work))
         self._count += 1
@@ -157,7 +157,7 @@
         return [*self._running.values(), *waiting]
 
     def _fill_slots(self) -> None:
-        while self._waiting and len(self._running) < self.pace.slots:
+        while self._waiting and len(self._running) < self.profile.slots:
             *_order, run = heapq.heappop(self._waiting)
             if not run.ended:
                 self._running[id(run)] = run
@@ -179,7 +179,7 @@
             f'{work.digest}+{work.adapter_digest}', work.prompt, now
         )
         new = max(0, len(work.prompt.split()) - run.cached_tokens)
-        cost = new / self.pace.prefill_tokens_per_s * self._slow()
+        cost = new / self.profile.prefill_tokens_per_s * self._slow()
         self._prefill_free_at = max(now, self._prefill_free_at) + cost
         gevent.sleep(self._prefill_free_at - now)
 
@@ -200,9 +200,9 @@
             self.generated += 1
 
     def _interval_s(self) -> float:
-        load = len(self._running) / self.pace.slots
-        factor = 1 + self.pace.batch_cost * load
-        return self.pace.token_interval_s * factor * self._slow()
+        load = len(self._running) / self.profile.slots
+        factor = 1 + self.profile.batch_cost * load
+        return self.profile.token_interval_s * factor * self._slow()
 
     def _slow(self) -> float:
         return self._faults()['slow']
--- a/packages/burdockchute-testing/burdockchute_testing/standins/engine.py
+++ b/packages/burdockchute-testing/burdockchute_testing/standins/engine.py
@@ -47,7 +47,7 @@
 
     def __init__(
         self,
-        pace: batch.Pace = batch.Pace(),  # noqa: B008
+        profile: batch.EngineProfile = batch.EngineProfile(),  # noqa: B008
         checks_fencing: bool = True,
         memory_models: int = 2,
         load_s: float = 0.0,
@@ -69,9 +69,9 @@
             cache_blocks, random.Random(seed + 1), cache_lag_s, cache_gap_share
         )
         self._batch = batch.Batch(
-            pace, self._cache, self._recording, clock, lambda: self._faults
+            profile, self._cache, self._recording, clock, lambda: self._faults
         )
-        self._holder = loading.Holder(
+        self._executor = loading.OrderExecutor(
             checks_fencing,
             memory_models,
             load_s,
@@ -88,7 +88,7 @@
         if request.path == '/faults':
             return self._set_faults(request)
         if request.path == '/history':
-            return serving.as_json(200, self._recording.runs())
+            return serving.json_reply(200, self._recording.runs())
         while self._faults['hang']:
             gevent.sleep(0.05)
         return self._answer(request)
@@ -104,22 +104,22 @@
         if request.path == '/orders':
             return self._order(request)
         if request.path == '/state':
-            return serving.as_json(200, self._holder.state())
+            return serving.json_reply(200, self._executor.state())
         if request.path == '/load':
-            return serving.as_json(200, self._load())
+            return serving.json_reply(200, self._load())
         if request.path == '/cache/events':
             return self._cache_events(request)
-        return serving.as_json(404, {'error': 'no such path'})
+        return serving.json_reply(404, {'error': 'no such path'})
 
     def _complete(self, request: serving.Request) -> serving.Reply:
-        document = serving.document_of(request)
+        document = serving.parse_document(request)
         work = self._work_of(document)
         if isinstance(work, serving.Reply):
             return work
         self._crash_on(work)
         run = self._batch.submit(work)
         if run is None:
-            return serving.as_json(
+            return serving.json_reply(
                 503, {'error': 'queue is full'}, Retry_After='1'
             )
         self._keep(run)
@@ -130,22 +130,24 @@
     def _work_of(self, document: dict[str, Any]) -> batch.Work | serving.Reply:
         model = document.get('model', '')
         adapter = document.get('adapter') or ''
-        if not self._holder.knows('model', model):
-            return serving.as_json(404, {'error': f'no model {model!r}'})
-        if adapter and not self._holder.knows('adapter', adapter):
-            return serving.as_json(404, {'error': f'no adapter {adapter!r}'})
-        digest = self._holder.digest_of(
+        if not self._executor.has_weights('model', model):
+            return serving.json_reply(404, {'error': f'no model {model!r}'})
+        if adapter and not self._executor.has_weights('adapter', adapter):
+            return serving.json_reply(
+                404, {'error': f'no adapter {adapter!r}'}
+            )
+        digest = self._executor.resolve_digest(
             'model', model, document.get('digest') or ''
         )
         adapter_digest: str | None = ''
         if adapter:
-            adapter_digest = self._holder.digest_of(
+            adapter_digest = self._executor.resolve_digest(
                 'adapter', adapter, document.get('adapter_digest') or ''
             )
         if digest is None or adapter_digest is None:
-            return serving.as_json(409, {'error': 'digest is not loaded'})
+            return serving.json_reply(409, {'error': 'digest is not loaded'})
         if self._rng.random() < self._faults['wrong_digest']:
-            digest = self._holder.other_digest(digest)
+            digest = self._executor.other_digest(digest)
         try:
             return batch.Work(
                 request_id=str(document.get('request_id') or ''),
@@ -173,13 +175,13 @@
     def _plain(self, run: batch.Run) -> serving.Reply:
         texts = [text for _index, text in run.tokens(0)]
         if run.how != recording.FINISHED:
-            return serving.as_json(
+            return serving.json_reply(
                 500, {'id': run.work.request_id, 'error': run.how}
             )
         if self._rng.random() < self._faults['lose_replies']:
             raise serving.LostReply
         summary = _summary_of(run)
-        return serving.as_json(200, {**summary, 'text': ''.join(texts)})
+        return serving.json_reply(200, {**summary, 'text': ''.join(texts)})
 
     def _stream(self, run: batch.Run, start: int) -> serving.Reply:
         return serving.Reply(
@@ -209,28 +211,34 @@
     ) -> serving.Reply:
         run = self._streams.get(request_id)
         if run is None:
-            return serving.as_json(404, {'error': f'no stream {request_id!r}'})
-        start = serving.whole_number(request, 'from', 0)
+            return serving.json_reply(
+                404, {'error': f'no stream {request_id!r}'}
+            )
+        start = serving.query_integer(request, 'from', 0)
         return self._stream(run, start)
 
     def _cancel(self, request_id: str) -> serving.Reply:
         run = self._streams.get(request_id)
         if run is None:
-            return serving.as_json(404, {'error': f'no stream {request_id!r}'})
+            return serving.json_reply(
+                404, {'error': f'no stream {request_id!r}'}
+            )
         self._batch.end(run, recording.CANCELLED)
-        return serving.as_json(200, {'how': run.how})
+        return serving.json_reply(200, {'how': run.how})
 
     def _order(self, request: serving.Request) -> serving.Reply:
         self._orders += 1
         order = _order_of(
-            serving.document_of(request), f'order-{self._orders}'
+            serving.parse_document(request), f'order-{self._orders}'
         )
-        if self._holder.refuses(order):
-            return serving.as_json(409, {'fence': self._holder.fence})
-        if order.act == 'load' and not self._holder.has_room(order):
-            return serving.as_json(507, {'error': 'no memory for the model'})
-        self._holder.accept(order)
-        return serving.as_json(202, {'order_id': order.order_id})
+        if self._executor.is_outdated(order):
+            return serving.json_reply(409, {'fence': self._executor.fence})
+        if order.act == 'load' and not self._executor.has_memory_for(order):
+            return serving.json_reply(
+                507, {'error': 'no memory for the model'}
+            )
+        self._executor.accept(order)
+        return serving.json_reply(202, {'order_id': order.order_id})
 
     def _load(self) -> dict[str, Any]:
         """Give the newest report that is older than the lag."""
@@ -244,22 +252,22 @@
         return shown[1]
 
     def _load_now(self) -> dict[str, Any]:
-        pace = self._batch.pace
-        interval_s = max(pace.token_interval_s, 1e-4) * self._faults['slow']
-        rate = pace.prefill_tokens_per_s / self._faults['slow']
+        profile = self._batch.profile
+        interval_s = max(profile.token_interval_s, 1e-4) * self._faults['slow']
+        rate = profile.prefill_tokens_per_s / self._faults['slow']
         return {
             'running': self._batch.running(),
             'waiting': self._batch.waiting(),
-            'slots': pace.slots,
-            'tokens_per_s': pace.slots / interval_s,
+            'slots': profile.slots,
+            'tokens_per_s': profile.slots / interval_s,
             'prefill_tokens_per_s': rate,
             'generated': self._batch.generated,
         }
 
     def _cache_events(self, request: serving.Request) -> serving.Reply:
-        start = serving.whole_number(request, 'from', 0)
+        start = serving.query_integer(request, 'from', 0)
         found = self._cache.events(start, self._clock())
-        return serving.as_json(
+        return serving.json_reply(
             200,
             {
                 'events': [
@@ -278,24 +286,24 @@
         self._faults = serving.merge_faults(FAULTS, request)
         if self._faults['seed'] is not None:
             self._rng = random.Random(self._faults['seed'])
-        return serving.as_json(200, {})
+        return serving.json_reply(200, {})
 
 
 def main() -> None:
     """Serve as a process."""
-    parser = serving.arguments(__doc__)
-    pace = batch.Pace()
-    parser.add_argument('--slots', type=int, default=pace.slots)
-    parser.add_argument('--max-waiting', type=int, default=pace.max_waiting)
+    parser = serving.make_parser(__doc__)
+    profile = batch.EngineProfile()
+    parser.add_argument('--slots', type=int, default=profile.slots)
+    parser.add_argument('--max-waiting', type=int, default=profile.max_waiting)
     parser.add_argument(
-        '--token-interval-s', type=float, default=pace.token_interval_s
+        '--token-interval-s', type=float, default=profile.token_interval_s
     )
     parser.add_argument(
         '--prefill-tokens-per-s',
         type=float,
-        default=pace.prefill_tokens_per_s,
+        default=profile.prefill_tokens_per_s,
     )
-    parser.add_argument('--batch-cost', type=float, default=pace.batch_cost)
+    parser.add_argument('--batch-cost', type=float, default=profile.batch_cost)
     parser.add_argument('--ignores-fencing', action='store_true')
     parser.add_argument('--memory-models', type=int, default=2)
     parser.add_argument('--load-s', type=float, default=0.0)
@@ -306,7 +314,7 @@
     parser.add_argument('--history-file', default='')
     args = parser.parse_args()
     engine = Engine(
-        batch.Pace(
+        batch.EngineProfile(
             args.slots,
             args.max_waiting,
             args.token_interval_s,
--- a/packages/burdockchute-testing/burdockchute_testing/standins/instance_list.py
+++ b/packages/burdockchute-testing/burdockchute_testing/standins/instance_list.py
@@ -40,20 +40,20 @@
         """Answer one request."""
         if request.path == '/faults':
             self._faults = serving.merge_faults(FAULTS, request)
-            return serving.as_json(200, {})
+            return serving.json_reply(200, {})
         where, _, name = request.path.strip('/').partition('/')
         if where != 'instances':
-            return serving.as_json(404, {'error': 'no such path'})
+            return serving.json_reply(404, {'error': 'no such path'})
         if request.method == 'POST':
-            instance = _checked(serving.document_of(request))
+            instance = _checked(serving.parse_document(request))
             self._change(instance['name'], instance)
-            return serving.as_json(200, {})
+            return serving.json_reply(200, {})
         if request.method == 'DELETE':
             self._change(name, None)
-            return serving.as_json(200, {})
+            return serving.json_reply(200, {})
         if self._faults['outage']:
-            return serving.as_json(503, {'error': 'outage'})
-        return serving.as_json(200, {'instances': self._present()})
+            return serving.json_reply(503, {'error': 'outage'})
+        return serving.json_reply(200, {'instances': self._present()})
 
     def _change(self, name: str, instance: dict[str, Any] | None) -> None:
         self._coming.append(Change(self._clock(), name, instance))
@@ -72,7 +72,7 @@
 
 def main() -> None:
     """Serve as a process."""
-    parser = serving.arguments(__doc__)
+    parser = serving.make_parser(__doc__)
     parser.add_argument('--lag-s', type=float, default=0.0)
     args = parser.parse_args()
     serving.run(InstanceList(args.lag_s).handle, args)
--- a/packages/burdockchute-testing/burdockchute_testing/standins/loading.py
+++ b/packages/burdockchute-testing/burdockchute_testing/standins/loading.py
@@ -61,7 +61,7 @@
     base: str
 
 
-class Holder:
+class OrderExecutor:
     """Loaded weights, orders in progress and the fencing number."""
 
     def __init__(
@@ -82,11 +82,11 @@
         self._loaded: list[Loaded] = []
         self._loading: list[Order] = []
 
-    def refuses(self, order: Order) -> bool:
+    def is_outdated(self, order: Order) -> bool:
         """Whether the order carries an old number and numbers count."""
         return self.checks_fencing and order.fence < self.fence
 
-    def has_room(self, order: Order) -> bool:
+    def has_memory_for(self, order: Order) -> bool:
         """Whether there is memory for what the order loads."""
         if order.kind != 'model' or self._has(order.kind, order.digest):
             return True
@@ -103,7 +103,7 @@
             self._loading.append(order)
             gevent.spawn(self._load, order)
 
-    def digest_of(self, kind: str, name: str, digest: str) -> str | None:
+    def resolve_digest(self, kind: str, name: str, digest: str) -> str | None:
         """Give the loaded digest for a name, the newest if none is asked."""
         for item in reversed(self._loaded):
             if (item.kind, item.name) == (kind, name):
@@ -111,9 +111,9 @@
                     return item.digest
         return None
 
-    def knows(self, kind: str, name: str) -> bool:
+    def has_weights(self, kind: str, name: str) -> bool:
         """Whether any weights of the name are loaded."""
-        return self.digest_of(kind, name, '') is not None
+        return self.resolve_digest(kind, name, '') is not None
 
     def other_digest(self, digest: str) -> str:
         """Give a loaded model's digest other than this, or a made-up one."""
@@ -157,7 +157,7 @@
             digest = self._fetch_in_time(order)
             if digest != order.digest:
                 raise FetchError(f'{digest} is not what was ordered')
-            if self.refuses(order):
+            if self.is_outdated(order):
                 raise FetchError(f'fence {order.fence} is old by now')
             self._add(order, digest)
         except FetchError as exc:
--- a/packages/burdockchute-testing/burdockchute_testing/standins/local.py
+++ b/packages/burdockchute-testing/burdockchute_testing/standins/local.py
@@ -22,12 +22,12 @@
 class WeightsSource:
     """Serves weights to an engine as an agent does.
 
-    `changed` replaces bytes on the way, to play a corrupt copy.
+    `replacement` replaces bytes on the way, to play a corrupt copy.
     """
 
     def __init__(self) -> None:
         self.published: dict[str, fake_weights.Weights] = {}
-        self.changed: bytes | None = None
+        self.replacement: bytes | None = None
 
     def publish(self, name: str, size: int = 10_000, seed: int = 1) -> str:
         """Make weights and give their digest."""
@@ -48,7 +48,7 @@
         )
 
     def _bytes(self, made: fake_weights.Weights) -> Iterator[bytes]:
-        if self.changed is not None:
-            yield self.changed
+        if self.replacement is not None:
+            yield self.replacement
             return
         yield from fake_weights.walk(made)
--- a/packages/burdockchute-testing/burdockchute_testing/standins/log_service.py
+++ b/packages/burdockchute-testing/burdockchute_testing/standins/log_service.py
@@ -91,10 +91,10 @@
         if request.path == '/faults':
             return self._set_faults(request)
         if request.path == '/stats':
-            return serving.as_json(200, self._counts)
+            return serving.json_reply(200, self._counts)
         gevent.sleep(self._faults['slow_s'])
         if self._faults['outage']:
-            return serving.as_json(503, {'error': 'outage'})
+            return serving.json_reply(503, {'error': 'outage'})
         reply = self._answer(request)
         if self._rng.random() < self._faults['lose_replies']:
             raise serving.LostReply
@@ -103,12 +103,12 @@
     def _answer(self, request: serving.Request) -> serving.Reply:
         parts = request.path.strip('/').split('/')
         if parts[0] != 'streams' or len(parts) not in (2, 3):
-            return serving.as_json(404, {'error': 'no such path'})
+            return serving.json_reply(404, {'error': 'no such path'})
         stream = self._streams.setdefault(parts[1], Stream())
         self._expire(stream)
         if parts[2:] == ['earliest']:
             where = {'earliest': stream.earliest, 'next': stream.next}
-            return serving.as_json(200, where)
+            return serving.json_reply(200, where)
         if request.method == 'POST':
             return self._append(stream, request)
         return self._read(stream, request)
@@ -118,7 +118,7 @@
     ) -> serving.Reply:
         now = self._clock()
         if not self._bucket.take(1, now):
-            return serving.as_json(
+            return serving.json_reply(
                 429, {'error': 'append rate'}, Retry_After='1'
             )
         try:
@@ -129,21 +129,21 @@
         offset = stream.next + gap
         stream.append(offset, now, data)
         self._counts['appends'] += 1
-        return serving.as_json(200, {'offset': offset})
+        return serving.json_reply(200, {'offset': offset})
 
     def _read(self, stream: Stream, request: serving.Request) -> serving.Reply:
-        start = serving.whole_number(request, 'from', 0)
-        limit = min(serving.whole_number(request, 'max', 500), MAX_READ)
-        wait_ms = serving.whole_number(request, 'wait_ms', 0)
+        start = serving.query_integer(request, 'from', 0)
+        limit = min(serving.query_integer(request, 'max', 500), MAX_READ)
+        wait_ms = serving.query_integer(request, 'wait_ms', 0)
         if start >= stream.next and wait_ms:
             stream.grown.wait(min(wait_ms, MAX_WAIT_MS) / 1000)
             if self._faults['outage']:
-                return serving.as_json(503, {'error': 'outage'})
+                return serving.json_reply(503, {'error': 'outage'})
             self._expire(stream)
         if start < stream.earliest:
-            return serving.as_json(410, {'earliest': stream.earliest})
+            return serving.json_reply(410, {'earliest': stream.earliest})
         found = _from(stream, start, limit)
-        reply = serving.as_json(
+        reply = serving.json_reply(
             200,
             {
                 'records': [
@@ -177,7 +177,7 @@
             self._bucket = self._new_bucket(rate)
         self._retention_s = retention_s
         self._faults = faults
-        return serving.as_json(200, {})
+        return serving.json_reply(200, {})
 
     def _new_bucket(self, rate: float) -> buckets.Bucket:
         return buckets.Bucket(rate, self._clock(), burst=max(1.0, rate))
@@ -185,7 +185,7 @@
 
 def main() -> None:
     """Serve as a process."""
-    parser = serving.arguments(__doc__)
+    parser = serving.make_parser(__doc__)
     parser.add_argument('--appends-per-s', type=float, default=0.0)
     parser.add_argument('--retention-s', type=float, default=0.0)
     parser.add_argument('--gap-share', type=float, default=0.1)
--- a/packages/burdockchute-testing/burdockchute_testing/standins/service.py
+++ b/packages/burdockchute-testing/burdockchute_testing/standins/service.py
@@ -44,9 +44,9 @@
             self._faults = serving.merge_faults(FAULTS, request)
             if self._faults['seed'] is not None:
                 self._rng = random.Random(self._faults['seed'])
-            return serving.as_json(200, {})
+            return serving.json_reply(200, {})
         if request.path == '/history':
-            return serving.as_json(200, self._recording.runs())
+            return serving.json_reply(200, self._recording.runs())
         return self._run(request)
 
     def _run(self, request: serving.Request) -> serving.Reply:
@@ -61,11 +61,11 @@
         gevent.sleep(self._seconds + self._faults['slow_s'])
         if self._rng.random() < self._faults['fail']:
             self._recording.end(run, recording.BROKEN)
-            return serving.as_json(500, {'error': 'failed'})
+            return serving.json_reply(500, {'error': 'failed'})
         self._recording.end(run, recording.FINISHED)
         if self._rng.random() < self._faults['lose_replies']:
             raise serving.LostReply
-        return serving.as_json(
+        return serving.json_reply(
             200,
             {
                 'service': self._name,
@@ -78,7 +78,7 @@
 
 def main() -> None:
     """Serve as a process."""
-    parser = serving.arguments(__doc__)
+    parser = serving.make_parser(__doc__)
     parser.add_argument('--service', default='service')
     parser.add_argument('--seconds', type=float, default=0.0)
     parser.add_argument('--history-file', default='')
--- a/packages/burdockchute-testing/burdockchute_testing/standins/serving.py
+++ b/packages/burdockchute-testing/burdockchute_testing/standins/serving.py
@@ -75,7 +75,7 @@
 Handler = Callable[[Request], Reply]
 
 
-def as_json(status: int, value: object, **headers: str) -> Reply:
+def json_reply(status: int, value: object, **headers: str) -> Reply:
     """Give a reply with a JSON body; header names use _ for -."""
     named = tuple(
         (name.replace('_', '-'), text) for name, text in headers.items()
@@ -83,7 +83,7 @@
     return Reply(status, json.dumps(value).encode(), headers=named)
 
 
-def document_of(request: Request) -> dict[str, Any]:
+def parse_document(request: Request) -> dict[str, Any]:
     """Give the JSON object of the body; raises BadRequest."""
     try:
         document = json.loads(request.body or b'{}')
@@ -94,7 +94,7 @@
     return document
 
 
-def whole_number(request: Request, name: str, default: int) -> int:
+def query_integer(request: Request, name: str, default: int) -> int:
     """Give a number of the query; raises BadRequest."""
     text = request.query.get(name, str(default))
     if not text.isdigit():
@@ -104,7 +104,7 @@
 
 def merge_faults(known: Mapping[str, Any], request: Request) -> dict[str, Any]:
     """Give the faults in force from now on; what is not named is whole."""
-    document = document_of(request)
+    document = parse_document(request)
     unknown = sorted(set(document) - set(known))
     if unknown:
         raise BadRequest(
@@ -128,7 +128,7 @@
     return listening
 
 
-def arguments(description: str) -> argparse.ArgumentParser:
+def make_parser(description: str) -> argparse.ArgumentParser:
     """Give a parser with what every stand-in takes."""
     parser = argparse.ArgumentParser(description=description)
     parser.add_argument('--port', type=int, default=0)
@@ -168,7 +168,7 @@
         try:
             reply = handle(_request_of(environ))
         except BadRequest as exc:
-            reply = as_json(400, {'error': str(exc)})
+            reply = json_reply(400, {'error': str(exc)})
         return _send(reply, start_response)
 
     return app
--- a/packages/burdockchute-testing/burdockchute_testing/standins/weight_store.py
+++ b/packages/burdockchute-testing/burdockchute_testing/standins/weight_store.py
@@ -73,30 +73,32 @@
         if request.path == '/faults':
             return self._set_faults(request)
         if request.path == '/stats':
-            return serving.as_json(200, self._stats())
+            return serving.json_reply(200, self._stats())
         if request.path in ('/models', '/adapters'):
-            digest = self.publish(serving.document_of(request))
-            return serving.as_json(200, {'digest': digest})
+            digest = self.publish(serving.parse_document(request))
+            return serving.json_reply(200, {'digest': digest})
         gevent.sleep(self._faults['slow_s'])
         if self._faults['outage']:
-            return serving.as_json(503, {'error': 'outage'}, Retry_After='1')
+            return serving.json_reply(
+                503, {'error': 'outage'}, Retry_After='1'
+            )
         return self._answer(request)
 
     def _answer(self, request: serving.Request) -> serving.Reply:
         what, _, digest = request.path.strip('/').partition('/')
         if what not in ('manifests', 'blobs') or digest not in self._weights:
-            return serving.as_json(404, {'error': f'no {what} {digest!r}'})
+            return serving.json_reply(404, {'error': f'no {what} {digest!r}'})
         if what == 'manifests':
             manifest = self._manifests[digest]
             self._lose_some()
-            return serving.as_json(200, manifest)
+            return serving.json_reply(200, manifest)
         return self._blob(digest, request)
 
     def _blob(self, digest: str, request: serving.Request) -> serving.Reply:
         made = self._weights[digest]
         asked = _range_of(request, made.size)
         if asked is None:
-            return serving.as_json(416, {'size': made.size})
+            return serving.json_reply(416, {'size': made.size})
         start, stop = asked
         self._reads += 1
         if self._rng.random() < self._faults['lose_replies']:
@@ -152,12 +154,12 @@
         if rate != self._bucket.rate:
             self._bucket = buckets.Bucket(rate, self._clock())
         self._faults = faults
-        return serving.as_json(200, {})
+        return serving.json_reply(200, {})
 
 
 def main() -> None:
     """Serve as a process."""
-    parser = serving.arguments(__doc__)
+    parser = serving.make_parser(__doc__)
     parser.add_argument('--bytes-per-s', type=float, default=0.0)
     args = parser.parse_args()
     serving.run(WeightStore(args.seed, args.bytes_per_s).handle, args)
--- a/packages/burdockchute-testing/burdockchute_testing/traffic.py
+++ b/packages/burdockchute-testing/burdockchute_testing/traffic.py
@@ -70,12 +70,12 @@
         count = 0
         while self._is_on:
             count += 1
-            ask = calls.completion(
+            spec = calls.completion(
                 f'traffic-{number}-{count}',
                 self._model,
                 'a hare met a fox',
                 max_tokens=TOKENS,
                 stream=True,
             )
-            self.calls.append(calls.send(url, BEARER, ask, self._entry))
+            self.calls.append(calls.send(url, BEARER, spec, self._entry))
             gevent.sleep(PAUSE_S)
--- a/packages/burdockchute-testing/tests/test_agent_process.py
+++ b/packages/burdockchute-testing/tests/test_agent_process.py
@@ -45,7 +45,7 @@
         )
         return digest
 
-    def ask(self, request_id: str, digest: str, tokens: int = 5) -> None:
+    def send(self, request_id: str, digest: str, tokens: int = 5) -> None:
         document = {
             'model': 'story',
             'prompt': PROMPT,
@@ -66,7 +66,7 @@
         # of a report once could not take: the reports ended for good.
         self.start_engine(prefill_tokens_per_s=1234.5)
         digest = self.open_model()
-        self.ask('r1', digest)
+        self.send('r1', digest)
         text, end = self.text_and_end('r1')
         self.assertEqual(answers.expected_text(digest, '', PROMPT, 5), text)
         self.assertEqual(('', digest, 6), (end.error, end.digest, end.parts))
@@ -76,7 +76,7 @@
         # would see the answer break off.
         self.start_engine(token_interval_s=0.02)
         digest = self.open_model()
-        self.ask('r1', digest, tokens=50)
+        self.send('r1', digest, tokens=50)
         stream = self.entry.messages_of('r1')
         first = next(stream)
         self.system['a1'].terminate()
@@ -93,7 +93,7 @@
         self.system['a1'].terminate()
         self.entry.wait_leaving()
         gevent.sleep(CROSSING_S)
-        self.ask('r1', digest)
+        self.send('r1', digest)
         (refusal,) = self.entry.messages_of('r1')
         self.assertEqual(
             (messages.NotRun, 'leaving'), (type(refusal), refusal.reason)
@@ -105,9 +105,9 @@
         # agent that went on counting it would wait for it when it leaves.
         self.start_engine()
         digest = self.open_model()
-        self.ask('r1', digest)
+        self.send('r1', digest)
         self.entry.link.send(messages.Cancel('r1'))
-        self.ask('r2', digest)
+        self.send('r2', digest)
         self.text_and_end('r2')
         self.assertEqual(0, self.system.status('a1')['running'])
 
@@ -116,7 +116,7 @@
         # engine would go on with it while others wait for the slot.
         self.start_engine(slots=1, token_interval_s=0.02)
         digest = self.open_model()
-        self.ask('r1', digest, tokens=1000)
+        self.send('r1', digest, tokens=1000)
         next(self.entry.messages_of('r1'))
         self.entry.link.send(messages.Cancel('r1'))
         harness.wait_until(
@@ -132,8 +132,8 @@
         # request is sent to the next engine, and so on through all.
         self.start_engine()
         digest = self.open_model()
-        self.system.fault('m1', crash_word='hare')
-        self.ask('r1', digest)
+        self.system.set_faults('m1', crash_word='hare')
+        self.send('r1', digest)
         _text, end = self.text_and_end('r1')
         self.assertTrue(end.crashed, end)
         self.assertNotEqual('', end.error)
@@ -143,8 +143,8 @@
         # an order of an agent that was thought dead.
         self.start_engine()
         digest = self.open_model()
-        self.system.fault('m1', wrong_digest=1.0)
-        self.ask('r1', digest)
+        self.system.set_faults('m1', wrong_digest=1.0)
+        self.send('r1', digest)
         text, end = self.text_and_end('r1')
         self.assertEqual('', text)
         self.assertIn('answer is from weights', end.error)
@@ -156,8 +156,8 @@
         self.system.add_agent('a1', 'm1', stall_s=1)
         self.entry = self.dial('e1')
         digest = self.open_model()
-        self.system.fault('m1', stall_after=2)
-        self.ask('r1', digest)
+        self.system.set_faults('m1', stall_after=2)
+        self.send('r1', digest)
         _text, end = self.text_and_end('r1')
         self.assertNotEqual('', end.error)
         self.assertFalse(end.crashed)
--- a/packages/burdockchute-testing/tests/test_failures.py
+++ b/packages/burdockchute-testing/tests/test_failures.py
@@ -36,20 +36,20 @@
         rng = random.Random(name)
         started = []
         for number in range(count):
-            ask = calls.completion(
+            spec = calls.completion(
                 f'{name}-{number}',
                 'story',
                 max_tokens=rng.randint(5, 60),
                 stream=rng.random() < 0.6,
             )
-            started.append(self._later(rng, rng.choice(ENTRIES), ask))
+            started.append(self._later(rng, rng.choice(ENTRIES), spec))
         return started
 
     def _later(
-        self, rng: random.Random, entry: str, ask: calls.Ask
+        self, rng: random.Random, entry: str, spec: calls.CallSpec
     ) -> gevent.Greenlet:
         return gevent.spawn_later(
-            rng.uniform(0, SPREAD_S), self.site.insist, entry, ask
+            rng.uniform(0, SPREAD_S), self.site.send_until_run, entry, spec
         )
 
     def assert_sound(self) -> None:
@@ -72,7 +72,7 @@
         self.assert_sound()
         begun = [call for call in made if call.outcome == calls.UNKNOWN]
         self.assertEqual(
-            [], [call for call in begun if not call.ask.stream], begun
+            [], [call for call in begun if not call.spec.stream], begun
         )
         answered = [call for call in made if call.outcome == calls.ANSWERED]
         self.assertEqual(len(made), len(answered) + len(begun))
@@ -86,7 +86,7 @@
         site.system['m1'].pause()
         finish(running)
         self.assert_sound()
-        later = site.insist('e1', calls.completion('later', 'story'))
+        later = site.send_until_run('e1', calls.completion('later', 'story'))
         self.assertEqual(calls.ANSWERED, later.outcome)
 
     def test_poison_request_among_good_ones(self):
@@ -95,7 +95,7 @@
         # down, with all the requests beside it.
         site = self.start(engines=4)
         for name in site.engines:
-            site.system.fault(name, crash_word='POISON')
+            site.system.set_faults(name, crash_word='POISON')
         running = self.traffic('good', count=40)
         gevent.sleep(0.5)
         poison = calls.completion('poison', 'story', 'POISON')
@@ -105,7 +105,7 @@
         self.assert_sound()
         dead = [m for m in site.engines if site.system[m].status is not None]
         self.assertLessEqual(len(dead), 2, dead)
-        plain = [call for call in made if not call.ask.stream]
+        plain = [call for call in made if not call.spec.stream]
         self.assert_all_answered(plain)
 
 
@@ -140,7 +140,7 @@
         site = self.start(token_interval_s=0.03)
         running = self.traffic('leaves', count=80)
         gevent.sleep(FAULT_AFTER_S)
-        site.leave('m1')
+        site.stop_agent('m1')
         made = finish(running)
         self.assertEqual(0, site.system['am1'].wait())
         self.assert_all_answered(made)
@@ -193,12 +193,12 @@
         digest = blake3.blake3(BEARER.encode()).hexdigest()
         system.set_row('customer', 'lindwurm', key_digests=digest)
         system.set_row('service', 'proofs', idempotent='true')
-        ask = calls.service('x' * ECHO_BYTES, 'proofs')
+        spec = calls.service('x' * ECHO_BYTES, 'proofs')
         harness.wait_until(
-            lambda: calls.send(url, BEARER, ask).outcome == calls.ANSWERED,
+            lambda: calls.send(url, BEARER, spec).outcome == calls.ANSWERED,
             'proofs are served',
         )
-        headers = calls.headers_of(ask, BEARER)
+        headers = calls.request_headers(spec, BEARER)
         lines = [f'{name}: {value}' for name, value in headers.items()]
         lines.append(f'Content-Length: {ECHO_BYTES}')
         head = '\r\n'.join(['POST /v1/services/proofs/work HTTP/1.0', *lines])
@@ -206,7 +206,7 @@
             (harness.ADDRESS, system['e1'].ports['http_port'])
         )
         self.addCleanup(caller.close)
-        caller.sendall(f'{head}\r\n\r\n{ask.text}'.encode())
+        caller.sendall(f'{head}\r\n\r\n{spec.text}'.encode())
         harness.wait_until(
             lambda: system['e1'].log().count('event=request_finished') > 1,
             'the answer is known',
@@ -231,7 +231,7 @@
         self.assertGreaterEqual(site.relays['m1'].forget(), 2)
         made = finish(running)
         self.assert_sound()
-        plain = [call for call in made if not call.ask.stream]
+        plain = [call for call in made if not call.spec.stream]
         self.assert_all_answered(plain)
         later = finish(self.traffic('after-silence', count=20))
         self.assert_all_answered(later)
@@ -248,7 +248,7 @@
         site.kill('e2')
         made = finish(running)
         self.assert_sound()
-        others = [c for c in made if c.entry == 'e1' and not c.ask.stream]
+        others = [c for c in made if c.entry == 'e1' and not c.spec.stream]
         self.assert_all_answered(others)
 
     def test_agent_leaves_while_another_dies(self):
@@ -256,7 +256,7 @@
         site = self.start(token_interval_s=0.02)
         running = self.traffic('both', count=80)
         gevent.sleep(0.6)
-        site.leave('m1')
+        site.stop_agent('m1')
         gevent.sleep(0.2)
         site.kill('am2')
         finish(running)
@@ -285,12 +285,12 @@
     def test_log_outage_while_an_engine_dies(self):
         # The log is away, so no new row arrives; what runs must go on.
         site = self.start()
-        site.system.fault('log', outage=True)
+        site.system.set_faults('log', outage=True)
         running = self.traffic('outage')
         gevent.sleep(FAULT_AFTER_S)
         site.kill('m1')
         made = finish(running)
-        plain = [call for call in made if not call.ask.stream]
+        plain = [call for call in made if not call.spec.stream]
         self.assert_all_answered(plain)
         self.assert_sound()
 
@@ -306,6 +306,6 @@
         made = finish(running)
         site.wait_open()
         self.assert_all_answered(made)
-        last = site.insist('e1', calls.completion('after', 'story'))
+        last = site.send_until_run('e1', calls.completion('after', 'story'))
         self.assertEqual(site.digests['story'], last.digest)
         self.assert_sound()
--- a/packages/burdockchute-testing/tests/test_golden.py
+++ b/packages/burdockchute-testing/tests/test_golden.py
@@ -36,14 +36,14 @@
         )
         cls.names = {cls.site.digests['story']: 'story', digest: 'rhymes'}
         warm = calls.completion('warm', 'story', adapter='rhymes')
-        cls.site.insist('e1', warm)
+        cls.site.send_until_run('e1', warm)
         proof = calls.service(
             'warm',
             'proofs',
             idempotent=False,
             key=calls.new_key('warm', time.time()),
         )
-        cls.site.insist('e1', proof)
+        cls.site.send_until_run('e1', proof)
 
     def session(self, names: dict[str, str] | None = None) -> Session:
         url = self.site.system.url('e1', 'http_port')
--- a/packages/burdockchute-testing/tests/test_history.py
+++ b/packages/burdockchute-testing/tests/test_history.py
@@ -8,17 +8,17 @@
 from burdockchute_testing import answers
 from burdockchute_testing import calls
 from burdockchute_testing import history
+from burdockchute_testing.history import GracefulStop
 from burdockchute_testing.history import History
-from burdockchute_testing.history import Leave
 
-ASK = calls.completion('c1', 'story', 'a hare', max_tokens=4)
-GUARDED = calls.service('c2', 'postage', idempotent=False, key='1-c2')
+SPEC = calls.completion('c1', 'story', 'a hare', max_tokens=4)
+NON_IDEMPOTENT = calls.service('c2', 'postage', idempotent=False, key='1-c2')
 
 
-def answered(ask: calls.Ask = ASK, digest: str = 'd1') -> calls.Call:
-    text = answers.expected_text(digest, '', ask.text, ask.max_tokens)
+def answered(spec: calls.CallSpec = SPEC, digest: str = 'd1') -> calls.Call:
+    text = answers.expected_text(digest, '', spec.text, spec.max_tokens)
     return calls.Call(
-        ask,
+        spec,
         'e1',
         start=10.0,
         end=11.0,
@@ -30,9 +30,9 @@
     )
 
 
-def run_of(ask: calls.Ask = ASK, digest: str = 'd1') -> history.Run:
+def run_of(spec: calls.CallSpec = SPEC, digest: str = 'd1') -> history.Run:
     return history.Run(
-        'm1', 'r1', ask.text, 10.2, 10.8, 'finished', digest, ''
+        'm1', 'r1', spec.text, 10.2, 10.8, 'finished', digest, ''
     )
 
 
@@ -46,7 +46,7 @@
             History(
                 (answered(),),
                 (run_of(),),
-                leaves=(Leave('m1', 10.5),),
+                graceful_stops=(GracefulStop('m1', 10.5),),
                 digests=frozenset(['d1']),
             )
         )
@@ -102,7 +102,7 @@
         self.assert_found(History((refused, answered()), (run_of(),)))
 
     def test_not_run_of_a_sending_beside_one_that_ran(self):
-        first = answered(GUARDED)._replace(
+        first = answered(NON_IDEMPOTENT)._replace(
             text='c2', digest='', parts=frozenset(), request_id='r1'
         )
         second = first._replace(
@@ -111,8 +111,10 @@
             outcome=calls.NOT_RUN,
             request_id='r2',
         )
-        self.assert_found(History((first, second), (run_of(GUARDED, ''),)))
-        its_own = run_of(GUARDED, '')._replace(request_id='r2')
+        self.assert_found(
+            History((first, second), (run_of(NON_IDEMPOTENT, ''),))
+        )
+        its_own = run_of(NON_IDEMPOTENT, '')._replace(request_id='r2')
         self.assert_found(
             History((first, second), (its_own,)),
             ('c2@e2', 'not-run, but it ran at m1'),
@@ -133,10 +135,12 @@
 
     def test_non_idempotent_request_that_ran_twice(self):
         runs = (
-            run_of(GUARDED, ''),
-            run_of(GUARDED, '')._replace(how='broken'),
+            run_of(NON_IDEMPOTENT, ''),
+            run_of(NON_IDEMPOTENT, '')._replace(how='broken'),
+        )
+        unknown = answered(NON_IDEMPOTENT)._replace(
+            status=502, outcome=calls.UNKNOWN
         )
-        unknown = answered(GUARDED)._replace(status=502, outcome=calls.UNKNOWN)
         self.assert_found(
             History((unknown,), runs), ('c2', 'ran 2 times: m1, m1')
         )
@@ -153,7 +157,11 @@
 
     def test_new_work_after_leaving(self):
         self.assert_found(
-            History((answered(),), (run_of(),), leaves=(Leave('m1', 5.2),)),
+            History(
+                (answered(),),
+                (run_of(),),
+                graceful_stops=(GracefulStop('m1', 5.2),),
+            ),
             ('m1:c1', 'began 5.0 s after leaving began'),
         )
 
@@ -161,15 +169,19 @@
         cancelled = run_of()._replace(how='cancelled')
         unknown = answered()._replace(status=502, outcome=calls.UNKNOWN)
         self.assert_found(
-            History((unknown,), (cancelled,), leaves=(Leave('m1', 10.5),)),
+            History(
+                (unknown,),
+                (cancelled,),
+                graceful_stops=(GracefulStop('m1', 10.5),),
+            ),
             ('m1:c1', 'was cut off by leaving: cancelled'),
         )
 
     def test_service_answer_of_another_caller(self):
-        other = answered(GUARDED)._replace(
+        other = answered(NON_IDEMPOTENT)._replace(
             text='c3', digest='', parts=frozenset()
         )
         self.assert_found(
-            History((other,), (run_of(GUARDED, ''),)),
+            History((other,), (run_of(NON_IDEMPOTENT, ''),)),
             ('c2@e1', 'the answer is not its own'),
         )
--- a/packages/burdockchute-testing/tests/test_once.py
+++ b/packages/burdockchute-testing/tests/test_once.py
@@ -12,8 +12,8 @@
 from burdockchute_testing import calls
 from burdockchute_testing import client
 from burdockchute_testing import harness
-from burdockchute_testing.calls import Ask
 from burdockchute_testing.calls import Call
+from burdockchute_testing.calls import CallSpec
 from burdockchute_testing.site import finish
 from burdockchute_testing.site import Site
 
@@ -32,7 +32,7 @@
         harness.wait_until(lambda: _is_served(url), 'proofs are served')
         return self.site
 
-    def dispatches(self, name: str, count: int) -> list[Ask]:
+    def dispatches(self, name: str, count: int) -> list[CallSpec]:
         return [dispatch(f'{name}-{number}') for number in range(count)]
 
     def runs_of(self, marker: str) -> int:
@@ -44,17 +44,17 @@
         self.assertEqual([], self.site.findings())
 
     def send_on(
-        self, rng: random.Random, ask: Ask, after_s: float = 1.2
+        self, rng: random.Random, spec: CallSpec, after_s: float = 1.2
     ) -> gevent.Greenlet:
         """Send until it is answered, each time to either entry."""
         return gevent.spawn_later(
-            rng.uniform(0, after_s), self._send_until_answered, rng, ask
+            rng.uniform(0, after_s), self._send_until_answered, rng, spec
         )
 
-    def _send_until_answered(self, rng: random.Random, ask: Ask) -> Call:
+    def _send_until_answered(self, rng: random.Random, spec: CallSpec) -> Call:
         unknown = 0
         for _sending in range(SENDINGS):
-            call = self.site.send(rng.choice(ENTRIES), ask)
+            call = self.site.send(rng.choice(ENTRIES), spec)
             unknown += call.outcome == calls.UNKNOWN
             if call.outcome == calls.ANSWERED or unknown == MAX_UNKNOWN:
                 break
@@ -62,7 +62,7 @@
         return call
 
 
-def dispatch(marker: str) -> Ask:
+def dispatch(marker: str) -> CallSpec:
     """Give a postal dispatch that may not be repeated."""
     key = calls.new_key(marker, time.time())
     return calls.service(
@@ -74,20 +74,22 @@
     def test_same_key_at_two_entries_at_once(self):
         # An impatient dispatch desk has two browsers open and both send.
         site = self.start()
-        asks = self.dispatches('twice', 20)
-        made = site.send_all((e, ask) for ask in asks for e in ENTRIES)
+        specs = self.dispatches('twice', 20)
+        made = site.send_all((e, spec) for spec in specs for e in ENTRIES)
         self.assert_sound()
         answered = {
-            call.ask.marker for call in made if call.outcome == calls.ANSWERED
+            call.spec.marker for call in made if call.outcome == calls.ANSWERED
         }
-        self.assertEqual({ask.marker for ask in asks}, answered)
+        self.assertEqual({spec.marker for spec in specs}, answered)
 
     def test_same_key_with_another_body(self):
         # A form is filled in anew under the key of the last one. Neither
         # the first answer nor a second run would be right.
         site = self.start(services=1)
         first = dispatch('first')
-        self.assertEqual(calls.ANSWERED, site.insist('e1', first).outcome)
+        self.assertEqual(
+            calls.ANSWERED, site.send_until_run('e1', first).outcome
+        )
         other = dispatch('second')._replace(key=first.key)
         refused = site.send('e2', other)
         self.assertEqual(
@@ -99,11 +101,11 @@
         # A service does its work and its connection breaks. HTTP libraries
         # send a PUT again by themselves; this one may not be.
         site = self.start(services=1)
-        site.system.fault('s1', lose_replies=1.0)
-        ask = dispatch('put')._replace(method='PUT')
-        call = site.send('e1', ask)
+        site.system.set_faults('s1', lose_replies=1.0)
+        spec = dispatch('put')._replace(method='PUT')
+        call = site.send('e1', spec)
         self.assertEqual(calls.UNKNOWN, call.outcome, call.error)
-        again = site.send('e2', ask)
+        again = site.send('e2', spec)
         self.assertNotEqual(calls.NOT_RUN, again.outcome)
         self.assertEqual(1, self.runs_of('put'))
         self.assert_sound()
@@ -114,15 +116,15 @@
         # While the log is away nobody can tell whether a key was used, so
         # such requests are refused at once; others go on.
         site = self.start()
-        site.system.fault('log', outage=True)
-        ask = dispatch('outage')
-        refused = site.send('e1', ask)
+        site.system.set_faults('log', outage=True)
+        spec = dispatch('outage')
+        refused = site.send('e1', spec)
         self.assertEqual(calls.NOT_RUN, refused.outcome, refused.error)
         self.assertNotEqual('', refused.retry_after)
         plain = site.send('e1', calls.completion('plain', 'story'))
         self.assertEqual(calls.ANSWERED, plain.outcome, plain.error)
-        site.system.fault('log')
-        made = finish([self.send_on(random.Random(1), ask)])
+        site.system.set_faults('log')
+        made = finish([self.send_on(random.Random(1), spec)])
         self.assertEqual([calls.ANSWERED], [call.outcome for call in made])
         self.assert_sound()
 
@@ -131,10 +133,10 @@
         # Claims that landed unknown to their writer must neither run twice
         # nor keep a key for ever.
         site = self.start()
-        site.system.fault('log', lose_replies=0.3, seed=5)
+        site.system.set_faults('log', lose_replies=0.3, seed=5)
         rng = random.Random(5)
         made = finish(
-            [self.send_on(rng, ask) for ask in self.dispatches('lost', 20)]
+            [self.send_on(rng, spec) for spec in self.dispatches('lost', 20)]
         )
         self.assert_sound()
         outcomes = collections.Counter(call.outcome for call in made)
@@ -148,7 +150,7 @@
         site = self.start()
         rng = random.Random(7)
         running = [
-            self.send_on(rng, ask) for ask in self.dispatches('dies', 30)
+            self.send_on(rng, spec) for spec in self.dispatches('dies', 30)
         ]
         gevent.sleep(0.5)
         site.kill('e1')
@@ -156,8 +158,8 @@
         self.assert_sound()
         later = finish(
             [
-                self.send_on(rng, ask, after_s=0.5)
-                for ask in self.dispatches('later', 5)
+                self.send_on(rng, spec, after_s=0.5)
+                for spec in self.dispatches('later', 5)
             ]
         )
         self.assertEqual({calls.ANSWERED}, {call.outcome for call in later})
@@ -168,7 +170,7 @@
         site = self.start()
         rng = random.Random(11)
         running = [
-            self.send_on(rng, ask) for ask in self.dispatches('pause', 30)
+            self.send_on(rng, spec) for spec in self.dispatches('pause', 30)
         ]
         gevent.sleep(0.5)
         site.system['e1'].pause()
@@ -184,13 +186,13 @@
         # whether they were printed, so none of them runs again.
         site = self.start(services=2)
         for name in site.services:
-            site.system.fault(name, slow_s=0.5)
-        asks = self.dispatches('dies', 12)
-        running = [site.spawn('e1', ask) for ask in asks]
+            site.system.set_faults(name, slow_s=0.5)
+        specs = self.dispatches('dies', 12)
+        running = [site.spawn('e1', spec) for spec in specs]
         harness.wait_until(lambda: self.runs_of('dies-0') == 1, 'it runs')
         site.kill('s1')
         finish(running)
-        finish([site.spawn('e2', ask) for ask in asks])
+        finish([site.spawn('e2', spec) for spec in specs])
         self.assert_sound()
 
 
@@ -198,10 +200,10 @@
     def test_entry_dies_while_replies_get_lost(self):
         # The log loses replies, and one of the two entries dies.
         site = self.start()
-        site.system.fault('log', lose_replies=0.2, seed=13)
+        site.system.set_faults('log', lose_replies=0.2, seed=13)
         rng = random.Random(13)
         running = [
-            self.send_on(rng, ask) for ask in self.dispatches('mix', 20)
+            self.send_on(rng, spec) for spec in self.dispatches('mix', 20)
         ]
         gevent.sleep(0.5)
         site.kill('e2')
@@ -213,24 +215,24 @@
         site = self.start()
         rng = random.Random(17)
         running = [
-            self.send_on(rng, ask) for ask in self.dispatches('away', 20)
+            self.send_on(rng, spec) for spec in self.dispatches('away', 20)
         ]
         gevent.sleep(0.5)
-        site.system.fault('log', outage=True)
+        site.system.set_faults('log', outage=True)
         site.kill('as1')
         gevent.sleep(2.0)
-        site.system.fault('log')
+        site.system.set_faults('log')
         finish(running)
         self.assert_sound()
 
 
 def _is_served(url: str) -> bool:
     # Unlike a dispatch this asks for nothing to be done.
-    ask = dispatch('probe')._replace(key='')
+    spec = dispatch('probe')._replace(key='')
     got = client.call(
         'POST',
         f'{url}/v1/services/proofs/work',
         b'',
-        calls.headers_of(ask, 'key-of-lindwurm'),
+        calls.request_headers(spec, 'key-of-lindwurm'),
     )
     return got.status == 400
--- a/packages/burdockchute-testing/tests/test_platform_standins.py
+++ b/packages/burdockchute-testing/tests/test_platform_standins.py
@@ -36,7 +36,7 @@
         query = f'from={start}&wait_ms={wait_ms}'
         return client.get(f'{self.url}/streams/table?{query}')
 
-    def fault(self, **faults: object) -> None:
+    def set_faults(self, **faults: object) -> None:
         answer = client.post(f'{self.url}/faults', faults)
         self.assertEqual(200, answer.status, answer.body)
 
@@ -61,7 +61,7 @@
 
     def test_expired_records_are_gone(self):
         first = self.append('old').json()['offset']
-        self.fault(retention_s=10)
+        self.set_faults(retention_s=10)
         self.clock.now += 11
         second = self.append('new').json()['offset']
         self.assertEqual(410, self.read(first).status)
@@ -72,27 +72,27 @@
 
     def test_trim_moves_the_earliest_offset(self):
         offsets = [self.append(str(n)).json()['offset'] for n in range(5)]
-        self.fault(trim={'stream': 'table', 'before': offsets[3]})
+        self.set_faults(trim={'stream': 'table', 'before': offsets[3]})
         where = client.get(f'{self.url}/streams/table/earliest').json()
         self.assertEqual(
             {'earliest': offsets[3], 'next': offsets[4] + 1}, where
         )
 
     def test_lost_reply_comes_after_the_effect(self):
-        self.fault(lose_replies=1.0)
+        self.set_faults(lose_replies=1.0)
         with self.assertRaises(client.NoResponse):
             self.append('kept')
-        self.fault()
+        self.set_faults()
         records = self.read(0).json()['records']
         self.assertEqual(['kept'], [r['data'] for r in records])
 
     def test_append_rate_is_limited(self):
-        self.fault(appends_per_s=2)
+        self.set_faults(appends_per_s=2)
         statuses = [self.append('x').status for _ in range(3)]
         self.assertEqual([200, 200, 429], statuses)
 
     def test_outage_refuses(self):
-        self.fault(outage=True)
+        self.set_faults(outage=True)
         self.assertEqual(503, self.append('x').status)
         self.assertEqual(503, self.read(0).status)
 
--- a/packages/burdockchute-testing/tests/test_system.py
+++ b/packages/burdockchute-testing/tests/test_system.py
@@ -24,7 +24,7 @@
         self.assertEqual([], self.site.findings())
 
     def test_plain_and_streamed_at_both_entries(self):
-        asks = [
+        specs = [
             (
                 f'e{number % 2 + 1}',
                 calls.completion(
@@ -33,7 +33,7 @@
             )
             for number in range(24)
         ]
-        made = self.site.send_all(asks)
+        made = self.site.send_all(specs)
         self.assertEqual(['answered'] * 24, [call.outcome for call in made])
 
     def test_adapter_names_both_digests(self):
@@ -42,10 +42,10 @@
         system.set_row(
             'adapter', 'rhymes', version='v1', digest=digest, base='story'
         )
-        ask = calls.completion(
+        spec = calls.completion(
             'adapted', 'story', adapter='rhymes', stream=True
         )
-        call = self.site.insist('e1', ask)
+        call = self.site.send_until_run('e1', spec)
         self.assertEqual('answered', call.outcome, call.error)
         self.assertEqual(
             (self.site.digests['story'], digest),
@@ -74,12 +74,12 @@
     def test_caller_that_goes_away_frees_its_slot(self):
         # A teacher closes the page while a long story comes in. The engine
         # would go on writing it for nobody.
-        ask = calls.completion('gone', 'story', max_tokens=900, stream=True)
+        spec = calls.completion('gone', 'story', max_tokens=900, stream=True)
         url = self.site.system.url('e1', 'http_port') + '/v1/completions'
         stream = client.Stream(
             url,
-            calls.document_of(ask),
-            calls.headers_of(ask, 'key-of-lindwurm'),
+            calls.completion_body(spec),
+            calls.request_headers(spec, 'key-of-lindwurm'),
         )
         next(stream.events())
         stream.close()
@@ -94,9 +94,9 @@
         key = blake3.blake3(b'key-of-sahyog').hexdigest()
         system.set_row('customer', 'sahyog', key_digests=key, requests_per_s=2)
         url = system.url('e2', 'http_port')
-        ask = calls.completion('probe', 'story')
+        spec = calls.completion('probe', 'story')
         harness.wait_until(
-            lambda: calls.send(url, 'key-of-sahyog', ask).status != 401,
+            lambda: calls.send(url, 'key-of-sahyog', spec).status != 401,
             'the row is in force',
         )
         made = [
@@ -110,7 +110,7 @@
         told = {(c.outcome, c.retry_after != '') for c in refused}
         self.assertEqual({('not-run', True)}, told)
         ran = {run['prompt'] for run in system.runs() if 'prompt' in run}
-        self.assertEqual([], [c for c in refused if c.ask.text in ran])
+        self.assertEqual([], [c for c in refused if c.spec.text in ran])
 
     def how_of(self, text: str) -> list[str]:
         return [
--- a/packages/burdockchute-testing/tests/test_table_processes.py
+++ b/packages/burdockchute-testing/tests/test_table_processes.py
@@ -59,7 +59,7 @@
         self.system.add_entry('e2')
         offset = self.edit()
         self.wait_offset(offset, 'e1', 'e2')
-        self.system.fault('log', outage=True)
+        self.system.set_faults('log', outage=True)
         refused = self.system.table('set', 'service/proofs', 'slots=9')
         self.assertEqual(1, refused.status)
         self.assertIn('no table: the log said Unavailable', refused.err)
@@ -73,7 +73,7 @@
             lambda: self.table_status('e1')['age_s'] > 3,
             'the entry calls its rows old',
         )
-        self.system.fault('log')
+        self.system.set_faults('log')
         self.wait_offset(self.edit(), 'e1', 'e2', 'e3')
 
     def test_entry_is_paused_while_retention_passes_what_it_would_read(self):
@@ -96,7 +96,7 @@
         self.wait_offset(self.offset('e2'), 'a1')
         as_of = self.table_status('e2')['snapshot_as_of']
         trim = {'stream': 'table', 'before': as_of + 1}
-        self.system.fault('log', trim=trim)
+        self.system.set_faults('log', trim=trim)
         self.system['e1'].resume()
         seen = []
         for _number in range(20):
@@ -173,9 +173,9 @@
         self.system.add_entry('e2')
         self.wait_offset(self.edit(), 'e1', 'e2')
         exported = self.system.table('export').out
-        self.system.fault('log', lose_replies=0.5, seed=3)
+        self.system.set_faults('log', lose_replies=0.5, seed=3)
         done = self.import_at_once(exported, ('11', '12', '13', '14'))
-        self.system.fault('log')
+        self.system.set_faults('log')
         saved = [slots for slots, status in done.items() if status == 0]
         self.assertEqual(1, len(saved), done)
         self.wait_offset(self.edit_other(), 'e1', 'e2')
--- a/packages/burdockchute-testing/tests/test_upstream_standins.py
+++ b/packages/burdockchute-testing/tests/test_upstream_standins.py
@@ -30,7 +30,9 @@
         self.fence = 1
 
     def start(self, **options: object) -> None:
-        options.setdefault('pace', batch.Pace(token_interval_s=0.001))
+        options.setdefault(
+            'profile', batch.EngineProfile(token_interval_s=0.001)
+        )
         made = engine.Engine(**options)  # type: ignore[arg-type]
         self.url = local.start(self, made.handle)
 
@@ -64,7 +66,7 @@
         self.settled()
         return digest
 
-    def ask(self, **fields: object) -> client.Response:
+    def complete(self, **fields: object) -> client.Response:
         return client.post(f'{self.url}/v1/completions', _request(fields))
 
     def stream(self, **fields: object) -> client.Stream:
@@ -73,7 +75,7 @@
         self.addCleanup(made.close)
         return made
 
-    def fault(self, **faults: object) -> None:
+    def set_faults(self, **faults: object) -> None:
         answer = client.post(f'{self.url}/faults', faults)
         self.assertEqual(200, answer.status, answer.body)
 
@@ -85,7 +87,7 @@
     def test_plain_answer_is_the_expected_text(self):
         self.start()
         digest = self.load('story', 1)
-        answer = self.ask(prompt='good morning', max_tokens=5)
+        answer = self.complete(prompt='good morning', max_tokens=5)
         expected = {
             'id': 'r1',
             'digest': digest,
@@ -116,12 +118,12 @@
     def test_other_digest_is_refused(self):
         self.start()
         digest = self.load('story', 1)
-        self.assertEqual(409, self.ask(digest='0' * 64).status)
-        self.assertEqual(200, self.ask(digest=digest).status)
-        self.assertEqual(404, self.ask(model='letters').status)
+        self.assertEqual(409, self.complete(digest='0' * 64).status)
+        self.assertEqual(200, self.complete(digest=digest).status)
+        self.assertEqual(404, self.complete(model='letters').status)
 
     def test_stream_resumes_where_it_was_left(self):
-        self.start(pace=batch.Pace(token_interval_s=0.01))
+        self.start(profile=batch.EngineProfile(token_interval_s=0.01))
         digest = self.load('story', 1)
         left = self.stream(max_tokens=20)
         first = json.loads(next(left.events()).data)
@@ -136,28 +138,30 @@
         self.assertEqual(answers.expected_text(digest, '', 'hello', 20), text)
 
     def test_cancel_frees_the_slot(self):
-        self.start(pace=batch.Pace(slots=1, token_interval_s=0.01))
+        self.start(profile=batch.EngineProfile(slots=1, token_interval_s=0.01))
         self.load('story', 1)
         left = self.stream(max_tokens=100_000)
         next(left.events())
         client.post(f'{self.url}/v1/cancel/r1', {})
-        self.assertEqual(200, self.ask(request_id='r2').status)
+        self.assertEqual(200, self.complete(request_id='r2').status)
         ends = [(run['request_id'], run['how']) for run in self.history()]
         self.assertEqual([('r1', 'cancelled'), ('r2', 'finished')], ends)
 
     def test_full_queue_refuses(self):
-        self.start(pace=batch.Pace(slots=1, max_waiting=0))
+        self.start(profile=batch.EngineProfile(slots=1, max_waiting=0))
         self.load('story', 1)
         next(self.stream(max_tokens=1000).events())
-        self.assertEqual(503, self.ask(request_id='r2').status)
+        self.assertEqual(503, self.complete(request_id='r2').status)
         client.post(f'{self.url}/v1/cancel/r1', {})
 
     def test_higher_priority_goes_first(self):
-        self.start(pace=batch.Pace(slots=1, token_interval_s=0.002))
+        self.start(
+            profile=batch.EngineProfile(slots=1, token_interval_s=0.002)
+        )
         self.load('story', 1)
         next(self.stream(max_tokens=50).events())
         asked = [
-            gevent.spawn(self.ask, request_id=f'p{n}', priority=n)
+            gevent.spawn(self.complete, request_id=f'p{n}', priority=n)
             for n in range(3)
         ]
         gevent.joinall(asked, timeout=WAIT_S)
@@ -169,13 +173,15 @@
         self.start(cache_blocks=2)
         self.load('story', 1)
         long = ' '.join(f'w{n}' for n in range(200))
-        cached = [self.ask(prompt=long).json()['cached_tokens']]
-        cached.append(self.ask(prompt=long).json()['cached_tokens'])
+        cached = [self.complete(prompt=long).json()['cached_tokens']]
+        cached.append(self.complete(prompt=long).json()['cached_tokens'])
         # Three whole blocks don't fit a cache of two, and the first leaves.
         self.assertEqual([0, 0], cached)
         short = ' '.join(f'w{n}' for n in range(130))
-        self.ask(prompt=short)
-        self.assertEqual(128, self.ask(prompt=short).json()['cached_tokens'])
+        self.complete(prompt=short)
+        self.assertEqual(
+            128, self.complete(prompt=short).json()['cached_tokens']
+        )
         events = client.get(f'{self.url}/cache/events').json()['events']
         self.assertEqual(
             ['stored', 'stored', 'stored', 'evicted'],
@@ -190,7 +196,7 @@
     def test_corrupt_weights_are_not_loaded(self):
         self.start()
         digest = self.source.publish('story')
-        self.source.changed = b'x' * 10_000
+        self.source.replacement = b'x' * 10_000
         self.assertEqual(202, self.order(digest).status)
         state = self.settled()
         self.assertEqual([], state['loaded'])
@@ -222,7 +228,7 @@
         held = [item['digest'] for item in self.state()['loaded']]
         self.assertEqual(digests, held)
         for digest in digests:
-            answer = self.ask(digest=digest).json()
+            answer = self.complete(digest=digest).json()
             self.assertEqual(digest, answer['digest'])
         third = self.source.publish('story', seed=3)
         self.assertEqual(507, self.order(third).status)
@@ -246,7 +252,7 @@
     def test_stream_breaks_off(self):
         self.start()
         self.load('story', 1)
-        self.fault(break_after=2)
+        self.set_faults(break_after=2)
         seen = []
         with self.assertRaises(client.NoResponse):
             for event in self.stream(max_tokens=5).events():
@@ -256,8 +262,8 @@
     def test_wrong_digest_is_told_and_made(self):
         self.start()
         digest = self.load('story', 1)
-        self.fault(wrong_digest=1.0)
-        answer = self.ask(max_tokens=4).json()
+        self.set_faults(wrong_digest=1.0)
+        answer = self.complete(max_tokens=4).json()
         self.assertNotEqual(digest, answer['digest'])
         self.assertEqual(
             answers.expected_text(answer['digest'], '', 'hello', 4),
@@ -267,12 +273,12 @@
     def test_crash_word_ends_the_process(self):
         self.start()
         self.load('story', 1)
-        self.fault(crash_word='poison')
+        self.set_faults(crash_word='poison')
         with mock.patch.object(
             os, '_exit', autospec=True, side_effect=serving.LostReply
         ) as ends:
             with self.assertRaises(client.NoResponse):
-                self.ask(prompt='some poison here')
+                self.complete(prompt='some poison here')
         ends.assert_called_once_with(engine.CRASH_STATUS)
 
     def test_unknown_fault_is_named(self):
--- a/packages/burdockchute/tests/test_snapshots.py
+++ b/packages/burdockchute/tests/test_snapshots.py
@@ -97,7 +97,7 @@
 
     def edit(self, count: int) -> None:
         for _number in range(count):
-            offset = len(self.log.all_of('table'))
+            offset = len(self.log.all_records('table'))
             text = tables.record(
                 f'r{offset}',
                 tables.edit(tables.model(f'm{offset % 7}'), self.base(offset)),
--- a/packages/burdockchute/tests/test_table_commands.py
+++ b/packages/burdockchute/tests/test_table_commands.py
@@ -58,7 +58,7 @@
         return status, console.stdout.getvalue(), console.stderr.getvalue()
 
     def table(self) -> Table:
-        texts = enumerate(self.log.all_of('table'))
+        texts = enumerate(self.log.all_records('table'))
         return reducer.apply_all(EMPTY_TABLE, texts).table
 
     def add_story(self) -> None:
@@ -162,13 +162,13 @@
         # saved", the operator would save again, and fail on the own edit.
         self.log.lose_replies = 1
         self.add_story()
-        self.assertEqual(1, len(self.log.all_of('table')))
+        self.assertEqual(1, len(self.log.all_records('table')))
 
     def test_append_is_lost_without_effect(self):
         self.log.lose_appends = 1
         with mock.patch.object(table_writer, 'SEARCH_S', 0.1):
             self.add_story()
-        self.assertEqual(1, len(self.log.all_of('table')))
+        self.assertEqual(1, len(self.log.all_records('table')))
 
     def test_first_copy_comes_after_the_second(self):
         # The first append was only slow. Its copy arrives after the record
@@ -188,7 +188,7 @@
         self.log.append = slow
         with mock.patch.object(table_writer, 'SEARCH_S', 0.1):
             self.add_story()
-        self.assertEqual(2, len(self.log.all_of('table')))
+        self.assertEqual(2, len(self.log.all_records('table')))
         self.assertEqual(1, len(self.table().rows))
 
     def test_outage_saves_nothing_and_says_so(self):
--- a/packages/burdockchute/tests/test_table_machine.py
+++ b/packages/burdockchute/tests/test_table_machine.py
@@ -187,7 +187,7 @@
     @stateful.invariant()
     def log_and_reference_agree(self):
         """Compare the reduction of the full stream with the reference."""
-        texts = enumerate(self.log.all_of('table'))
+        texts = enumerate(self.log.all_records('table'))
         self.check(reducer.apply_all(EMPTY_TABLE, texts).table)
 
     def check(self, table: Table) -> None:
