--- a/packages/burdockchute-entry/burdockchute_entry/app.py
+++ b/packages/burdockchute-entry/burdockchute_entry/app.py
@@ -217,7 +217,7 @@
     def _admin_app(self) -> Callable:
         return http_admin.make_app(
             self.status,
-            self._probe,
+            self._readiness,
             {
                 '/burn': lambda _rest: http_admin.json_response(
                     self.request_metrics.burn_counts()
@@ -225,7 +225,7 @@
             },
         )
 
-    def _probe(self) -> http_admin.Readiness:
+    def _readiness(self) -> http_admin.Readiness:
         if not self.table_task.ready.is_set():
             return http_admin.Readiness(False, 'no table yet')
         if self.leaving:
--- a/packages/burdockchute-entry/burdockchute_entry/limits_task.py
+++ b/packages/burdockchute-entry/burdockchute_entry/limits_task.py
@@ -113,12 +113,12 @@
         entries = len(self._entries)
         requests = limits.divide(
             row.requests_per_s,
-            {e: t.demand.requests_per_s for e, t in recent.items()},
+            {e: r.demand.requests_per_s for e, r in recent.items()},
             entries,
         )
         tokens = limits.divide(
             row.tokens_per_s,
-            {e: t.demand.tokens_per_s for e, t in recent.items()},
+            {e: r.demand.tokens_per_s for e, r in recent.items()},
             entries,
         )
         return {
--- a/packages/burdockchute-entry/burdockchute_entry/router.py
+++ b/packages/burdockchute-entry/burdockchute_entry/router.py
@@ -86,7 +86,7 @@
             now,
             rng,
             self._requests,
-            lambda req, why: self._finish(req, why),
+            lambda request, refusal: self._finish(request, refusal),
             name,
         )
         self._deadlines: list[tuple[float, str]] = []
