--- a/packages/burdockchute-entry/burdockchute_entry/app.py
+++ b/packages/burdockchute-entry/burdockchute_entry/app.py
@@ -252,7 +252,7 @@
             if time.monotonic() > settle_until:
                 break
             gevent.sleep(0.02)
-        while callers_app.open and time.monotonic() < drain_until:
+        while callers_app.open_answers and time.monotonic() < drain_until:
             gevent.sleep(0.02)
         callers.stop(timeout=LEAVING_NOTICE_S)
         logs.event('stopped', left=unfinished)
--- a/packages/burdockchute-entry/burdockchute_entry/straight/callers.py
+++ b/packages/burdockchute-entry/burdockchute_entry/straight/callers.py
@@ -14,8 +14,8 @@
 from burdockchute import logs
 from burdockchute.callers import http
 from burdockchute.callers.parse import Rejection
-from burdockchute.callers.server import Body
 from burdockchute.callers.server import HEADERS_KEY
+from burdockchute.callers.server import ResponseBody
 from burdockchute.callers.server import SOCKET_KEY
 from burdockchute.callers.server import status_line
 from burdockchute.callers.server import TARGET_KEY
@@ -302,7 +302,7 @@
     def run(self) -> Iterable[bytes]:
         self._app.open_requests += 1
         try:
-            return Body(self._start(), self._on_written)
+            return ResponseBody(self._start(), self._on_written)
         except BaseException:
             self._on_written()
             raise
--- a/packages/burdockchute/burdockchute/callers/auth.py
+++ b/packages/burdockchute/burdockchute/callers/auth.py
@@ -1,7 +1,7 @@
-"""Tell who calls, by the digest of a bearer key.
+"""Identifies callers by the digest of their bearer key.
 
-The table holds only digests, so that nobody who reads it can call in another
-customer's name.
+The table has only digests, so that reading it does not let anyone call in
+the name of a customer.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def key_digest(key: str) -> str:
-    """Give what stands in the table for a key.
+    """Return the digest of a key, as stored in the table.
 
     >>> digest_of('secret')[:8]
     '5fbf08af'
@@ -27,7 +27,7 @@
 
 
 def customers_by_digest(table: Table) -> dict[str, CustomerRow]:
-    """Give each key digest of the table with its customer."""
+    """Return the customer of each key digest in the table."""
     return {
         digest: row
         for row in tables.customers(table).values()
@@ -38,7 +38,7 @@
 def customer_of(
     authorization: str, by_digest: Mapping[str, CustomerRow]
 ) -> CustomerRow | None:
-    """Give the customer an Authorization header names, if any."""
+    """Return the customer that an Authorization header identifies, if any."""
     if not authorization.lower().startswith(_SCHEME):
         return None
     key = authorization[len(_SCHEME) :].strip()
@@ -46,13 +46,13 @@
 
 
 def may_call(customer: CustomerRow, name: str) -> bool:
-    """Tell whether a customer may call a model, adapter or service."""
+    """Whether a customer may call a model, adapter or service."""
     allowed = split_list(customer.models)
     return '*' in allowed or name in allowed
 
 
 def split_list(text: str) -> list[str]:
-    """Give the members of a comma list.
+    """Return the items of a comma-separated list.
 
     >>> split_list('a, b')
     ['a', 'b']
--- a/packages/burdockchute/burdockchute/callers/http.py
+++ b/packages/burdockchute/burdockchute/callers/http.py
@@ -1,7 +1,7 @@
 """The HTTP interface towards callers, as a WSGI application.
 
-Each request has a greenlet of its own, which checks the request, submits it
-and passes its answer on. What is refused is answered at once.
+Each request has a greenlet of its own, which validates the request, submits
+it and forwards its answer. A request that is refused is answered at once.
 """
 
 from __future__ import annotations
@@ -44,21 +44,21 @@
 DIGEST = 'Burdockchute-Digest'
 ADAPTER_DIGEST = 'Burdockchute-Adapter-Digest'
 
-# How often a waiting task looks whether its caller has hung up.
+# Interval at which a waiting task checks whether its caller has disconnected.
 DISCONNECT_POLL_S = 0.25
 
-# The router answers each request by its deadline. This much later it is
-# taken to have failed, so that no caller waits for ever.
+# The router answers each request by its deadline. This long after it, the
+# router is assumed to have failed, so that no caller waits without limit.
 ANSWER_GRACE_S = 2.0
 
 Submit = Callable[[RequestContext], queue.Queue]
-Gone = Callable[[str], None]
+OnDisconnect = Callable[[str], None]
 StartResponse = Callable[[str, list[tuple[str, str]]], Any]
 App = Callable[[dict[str, Any], StartResponse], Iterable[bytes]]
 
 
 class Limits(NamedTuple):
-    """What a caller may take; a body has to come whole within its time."""
+    """Limits of a request; `body_timeout_s` covers the complete body."""
 
     max_body_bytes: int = 1024 * 1024
     default_deadline_s: float = 60.0
@@ -66,7 +66,7 @@
 
 
 class Exchange(NamedTuple):
-    """One request with the means to answer it."""
+    """One request and the callable that starts its response."""
 
     environ: dict[str, Any]
     start_response: StartResponse
@@ -75,16 +75,17 @@
 
 def make_app(
     submit: Submit,
-    gone: Gone,
+    on_disconnect: OnDisconnect,
     table: Callable[[], Table],
     now: Callable[[], float],
     accepting: Callable[[], bool] = lambda: True,
     limits: Limits = Limits(),  # noqa: B008
 ) -> App:
-    """Give the WSGI application.
+    """Return the WSGI application.
 
-    `submit` starts a request and gives the queue of its replies; `gone` is
-    called when its caller has hung up before the last of them.
+    `submit` starts a request and returns the queue of its replies;
+    `on_disconnect` is called with the request id if the caller disconnects
+    before the last of them.
     """
     customers = _customers_of(table)
 
@@ -103,7 +104,7 @@
         if isinstance(body, parse.Rejection):
             return _answer_rejection(ex, body)
         parsed = parse.parse_request(
-            _arrival(ex, body, now()),
+            _received_request(ex, body, now()),
             customer,
             table(),
             limits.default_deadline_s,
@@ -111,7 +112,7 @@
         if isinstance(parsed, Failure):
             return _answer_rejection(ex, parsed.failure())
         ctx = parsed.unwrap()
-        replies = _watch(ex, ctx, submit(ctx), gone, now)
+        replies = _replies_until_done(ex, ctx, submit(ctx), on_disconnect, now)
         if ctx.stream:
             return _answer_stream(ex, ctx, replies)
         return _answer_plain(ex, replies)
@@ -122,20 +123,22 @@
 def _customers_of(
     table: Callable[[], Table],
 ) -> Callable[[], Mapping[str, CustomerRow]]:
-    # Made anew only when the table has changed: at 10,000 rows it costs
-    # milliseconds, which each request would pay.
-    made_from: list[Any] = [None, {}]
+    # Rebuilt only when the table has changed: with 10,000 rows that takes
+    # milliseconds, too much for every request.
+    cached: list[Any] = [None, {}]
 
     def current() -> Mapping[str, CustomerRow]:
         present = table()
-        if made_from[0] is not present:
-            made_from[:] = [present, auth.customers_by_digest(present)]
-        return made_from[1]
+        if cached[0] is not present:
+            cached[:] = [present, auth.customers_by_digest(present)]
+        return cached[1]
 
     return current
 
 
-def _arrival(ex: Exchange, body: bytes, now: float) -> parse.ReceivedRequest:
+def _received_request(
+    ex: Exchange, body: bytes, now: float
+) -> parse.ReceivedRequest:
     environ = ex.environ
     path = environ.get('PATH_INFO', '')
     query = environ.get('QUERY_STRING', '')
@@ -154,7 +157,7 @@
         parse.DEADLINE_HEADER,
         parse.PRIORITY_HEADER,
         parse.IDEMPOTENT_HEADER,
-        parse.KEY_HEADER,
+        parse.IDEMPOTENCY_KEY_HEADER,
     )
     headers = {}
     for name in names:
@@ -169,17 +172,17 @@
 def read_body(
     environ: dict[str, Any], limits: Limits
 ) -> bytes | parse.Rejection:
-    """Read a whole body, or tell why it can't be taken."""
+    """Read the complete body, or return why it is rejected."""
     declared = environ.get('CONTENT_LENGTH') or '0'
     if not declared.isdigit():
         return _rejection(400, 'Content-Length', f'{declared!r} is no size')
     limit = limits.max_body_bytes
     if int(declared) > limit:
         return _rejection(413, 'body', f'longer than {limit} bytes')
-    # A caller that sends a byte now and then would hold a greenlet, a
-    # connection and its buffers for as long as it likes. It is noticed by
-    # connections that grow without requests; one bound on the whole body
-    # ends it, where a timeout on each read would not.
+    # A caller that sends one byte at a time could otherwise occupy a
+    # greenlet, a connection and its buffers without limit. It shows as a
+    # growing number of connections without requests. A timeout on the
+    # complete body ends it; a timeout on each read would not.
     try:
         with gevent.Timeout(limits.body_timeout_s):
             body = environ['wsgi.input'].read(limit + 1)
@@ -199,14 +202,14 @@
     return parse.Rejection(status, (Finding(place, text),))
 
 
-def _watch(
+def _replies_until_done(
     ex: Exchange,
     ctx: RequestContext,
     replies: queue.Queue,
-    gone: Gone,
+    on_disconnect: OnDisconnect,
     now: Callable[[], float],
 ) -> Iterator[Reply]:
-    """Give the replies up to Done; tells if the caller leaves before."""
+    """Yield the replies up to Done; reports a caller that leaves earlier."""
     done = False
     try:
         while not done:
@@ -217,7 +220,7 @@
             yield reply
     finally:
         if not done:
-            gone(ctx.request_id)
+            on_disconnect(ctx.request_id)
 
 
 def _next_reply(
@@ -266,20 +269,20 @@
         (ADAPTER_DIGEST, first.adapter_digest),
     ]
     ex.start_response(status_line(200), headers)
-    return _Events(ctx, replies)
+    return _EventStream(ctx, replies)
 
 
-class _Events:
-    """The events of a stream; `close` is called when the caller leaves.
+class _EventStream:
+    """The events of a stream; `close` is called when the caller disconnects.
 
-    The replies are closed with it, also where not one event was taken from
-    here: a generator that was never started would not see its close.
+    It also closes the replies, even if no event was taken. If this were a
+    generator, closing it before it was started would run none of its code.
     """
 
     def __init__(self, ctx: RequestContext, replies: Iterator[Reply]) -> None:
         self._ctx = ctx
         self._replies = replies
-        self._parts = 0
+        self._part_count = 0
 
     def __iter__(self) -> Iterator[bytes]:
         return self
@@ -289,12 +292,12 @@
         while isinstance(reply, AnswerStarted):
             reply = next(self._replies)
         if isinstance(reply, Part):
-            self._parts += 1
+            self._part_count += 1
             return sse.data_event(reply.data)
         assert isinstance(reply, Done)
         return sse.outcome_event(
             _outcome_fields(self._ctx.request_id, reply.outcome)
-            | {'parts': self._parts}
+            | {'parts': self._part_count}
         )
 
     def close(self) -> None:
@@ -342,8 +345,8 @@
     if rejection.retry_after_s > 0:
         headers.append(retry_after(rejection.retry_after_s))
     if rejection.status in (408, 413):
-        # What is left of the body is not read, so the connection can't be
-        # used again.
+        # The remainder of the body is not read, so the connection can't be
+        # reused.
         headers.append(('Connection', 'close'))
     if rejection.status == 401:
         headers.append(('WWW-Authenticate', 'Bearer'))
@@ -356,7 +359,7 @@
 
 
 def retry_after(seconds: float) -> tuple[str, str]:
-    """Give the header; whole seconds, rounded up.
+    """Return the Retry-After header in whole seconds, rounded up.
 
     >>> retry_after(0.2)
     ('Retry-After', '1')
--- a/packages/burdockchute/burdockchute/callers/parse.py
+++ b/packages/burdockchute/burdockchute/callers/parse.py
@@ -1,7 +1,7 @@
-"""Check a caller's request and resolve what it names.
+"""Validates a caller's request and resolves the row that it names.
 
-Every finding is collected before the request is refused, each with its
-place: a header by its name, a member of the body as `body.prompt`.
+All findings are collected before a request is rejected. Each has a place:
+the name of a header, or a member of the body such as `body.prompt`.
 """
 
 from __future__ import annotations
@@ -33,27 +33,27 @@
 DEADLINE_HEADER = 'Burdockchute-Deadline-Ms'
 PRIORITY_HEADER = 'Burdockchute-Priority'
 IDEMPOTENT_HEADER = 'Burdockchute-Idempotent'
-KEY_HEADER = 'Idempotency-Key'
+IDEMPOTENCY_KEY_HEADER = 'Idempotency-Key'
 
 MAX_DEADLINE_MS = 600_000
 MAX_TOKENS = 32_768
 DEFAULT_MAX_TOKENS = 256
 MAX_KEY_CHARS = 200
 
-# A caller may put its own requests behind one another, never before those
-# of the customer's row.
+# A caller may lower the priority of its requests, but not raise it above the
+# one in the customer's row.
 LOWEST_PRIORITY = -9
 HIGHEST_PRIORITY = 0
 
-# Words in one step of the engines' prefix cache, and how many steps are
-# digested: more would cost each request time and save no more than a long
-# document's tail.
+# Words in a block of the engines' prefix cache, and the number of blocks that
+# are digested: more would take time on every request and only help with the
+# tail of long documents.
 BLOCK_WORDS = 64
 MAX_BLOCKS = 64
 
 
 class Rejection(NamedTuple):
-    """Why a request goes no further: it was certainly not run."""
+    """Why a request was rejected; it was certainly not run."""
 
     status: int
     findings: tuple[Finding, ...]
@@ -61,7 +61,7 @@
 
 
 class ReceivedRequest(NamedTuple):
-    """A request as it came; times are monotonic seconds."""
+    """A request as received; times are in monotonic seconds."""
 
     request_id: str
     method: str
@@ -71,8 +71,8 @@
     now: float
 
 
-class Options(NamedTuple):
-    """What the headers ask for."""
+class RequestOptions(NamedTuple):
+    """Options from the request headers."""
 
     deadline: float
     priority: int
@@ -81,30 +81,30 @@
 
 
 def parse_request(
-    arrival: ReceivedRequest,
+    received: ReceivedRequest,
     customer: CustomerRow,
     table: Table,
     default_deadline_s: float,
 ) -> Result[RequestContext, Rejection]:
-    """Give the request in full, or all findings."""
+    """Return the validated request, or a rejection with all findings."""
     found: list[Finding] = []
-    options = _parse_options(arrival, customer, default_deadline_s, found)
-    if arrival.path == COMPLETIONS_PATH:
-        return _parse_completion(arrival, customer, table, options, found)
-    if arrival.path.startswith(SERVICES_PREFIX):
-        return _parse_service(arrival, customer, table, options, found)
-    return reject(404, 'path', f'nothing is served at {arrival.path!r}')
+    options = _parse_options(received, customer, default_deadline_s, found)
+    if received.path == COMPLETIONS_PATH:
+        return _parse_completion(received, customer, table, options, found)
+    if received.path.startswith(SERVICES_PREFIX):
+        return _parse_service(received, customer, table, options, found)
+    return reject(404, 'path', f'nothing is served at {received.path!r}')
 
 
 def reject(
     status: int, place: str, text: str
 ) -> Result[RequestContext, Rejection]:
-    """Give a rejection with one finding."""
+    """Return a rejection with one finding."""
     return Failure(Rejection(status, (Finding(place, text),)))
 
 
 def prefix_digests(prompt: str) -> tuple[str, ...]:
-    """Give the digests of the prompt's first 1, 2, 3... whole blocks."""
+    """Return the digests of the prompt's first 1, 2, 3... complete blocks."""
     words = prompt.split()
     blocks = min(len(words) // BLOCK_WORDS, MAX_BLOCKS)
     hasher = blake3.blake3()
@@ -118,47 +118,50 @@
 
 
 def _parse_options(
-    arrival: ReceivedRequest,
+    received: ReceivedRequest,
     customer: CustomerRow,
     default_deadline_s: float,
     found: list[Finding],
-) -> Options:
-    headers = arrival.headers
-    budget_ms = _whole_number(
+) -> RequestOptions:
+    headers = received.headers
+    budget_ms = _parse_int(
         headers.get(DEADLINE_HEADER),
         DEADLINE_HEADER,
         (1, MAX_DEADLINE_MS),
         int(default_deadline_s * 1000),
         found,
     )
-    lowered = _whole_number(
+    relative_priority = _parse_int(
         headers.get(PRIORITY_HEADER),
         PRIORITY_HEADER,
         (LOWEST_PRIORITY, HIGHEST_PRIORITY),
         HIGHEST_PRIORITY,
         found,
     )
-    marked = headers.get(IDEMPOTENT_HEADER, 'yes').lower()
-    if marked not in ('yes', 'no'):
+    idempotent_text = headers.get(IDEMPOTENT_HEADER, 'yes').lower()
+    if idempotent_text not in ('yes', 'no'):
         found.append(
             Finding(
-                IDEMPOTENT_HEADER, findings.not_one_of(marked, ('yes', 'no'))
+                IDEMPOTENT_HEADER,
+                findings.not_one_of(idempotent_text, ('yes', 'no')),
             )
         )
-    key = headers.get(KEY_HEADER, '')
+    key = headers.get(IDEMPOTENCY_KEY_HEADER, '')
     if len(key) > MAX_KEY_CHARS:
         found.append(
-            Finding(KEY_HEADER, f'more than {MAX_KEY_CHARS} characters')
+            Finding(
+                IDEMPOTENCY_KEY_HEADER, f'more than {MAX_KEY_CHARS} characters'
+            )
         )
-    return Options(
-        deadline=arrival.now + budget_ms / 1000,
-        priority=customer.priority + lowered,
-        idempotent=marked != 'no',
+    return RequestOptions(
+        deadline=received.now + budget_ms / 1000,
+        priority=customer.priority + relative_priority,
+        idempotent=idempotent_text != 'no',
         key=key,
     )
 
 
-def _whole_number(
+def _parse_int(
     text: str | None,
     place: str,
     valid: tuple[int, int],
@@ -181,20 +184,20 @@
 
 
 def _parse_completion(
-    arrival: ReceivedRequest,
+    received: ReceivedRequest,
     customer: CustomerRow,
     table: Table,
-    options: Options,
+    options: RequestOptions,
     found: list[Finding],
 ) -> Result[RequestContext, Rejection]:
-    if arrival.method != 'POST':
-        return reject(405, 'method', f'{arrival.method!r} is not POST')
-    body = _json_object(arrival.body, found)
-    prompt = _member(body, 'prompt', str, None, found)
-    model = _member(body, 'model', str, None, found)
-    adapter = _member(body, 'adapter', str, '', found)
-    stream = _member(body, 'stream', bool, False, found)
-    tokens = _member(body, 'max_tokens', int, DEFAULT_MAX_TOKENS, found)
+    if received.method != 'POST':
+        return reject(405, 'method', f'{received.method!r} is not POST')
+    body = _json_object(received.body, found)
+    prompt = _get_member(body, 'prompt', str, None, found)
+    model = _get_member(body, 'model', str, None, found)
+    adapter = _get_member(body, 'adapter', str, '', found)
+    stream = _get_member(body, 'stream', bool, False, found)
+    tokens = _get_member(body, 'max_tokens', int, DEFAULT_MAX_TOKENS, found)
     if not 1 <= tokens <= MAX_TOKENS:
         found.append(
             Finding(
@@ -210,7 +213,7 @@
         return Failure(target)
     kind, name = target
     return Success(
-        _context(arrival, customer, options, kind, name)._replace(
+        _context(received, customer, options, kind, name)._replace(
             prompt_tokens=len(prompt.split()),
             max_tokens=tokens,
             stream=stream,
@@ -224,18 +227,18 @@
     model: str, adapter: str, customer: CustomerRow, table: Table
 ) -> tuple[str, str] | Rejection:
     if not adapter:
-        by_name = tables.find_row(table, AdapterRow, model)
-        if by_name is not None:
-            adapter, model = model, by_name.base
+        named_adapter = tables.find_row(table, AdapterRow, model)
+        if named_adapter is not None:
+            adapter, model = model, named_adapter.base
     if tables.find_row(table, ModelRow, model) is None:
-        return _unknown('body.model', model, 'model')
+        return _unknown_name('body.model', model, 'model')
     if not adapter:
         if not auth.may_call(customer, model):
             return _forbidden('body.model', customer, model)
         return 'model', model
     row = tables.find_row(table, AdapterRow, adapter)
     if row is None:
-        return _unknown('body.adapter', adapter, 'adapter')
+        return _unknown_name('body.adapter', adapter, 'adapter')
     if row.base != model:
         text = f'{adapter!r} is no adapter on {model!r}'
         return Rejection(404, (Finding('body.adapter', text),))
@@ -245,49 +248,52 @@
 
 
 def _parse_service(
-    arrival: ReceivedRequest,
+    received: ReceivedRequest,
     customer: CustomerRow,
     table: Table,
-    options: Options,
+    options: RequestOptions,
     found: list[Finding],
 ) -> Result[RequestContext, Rejection]:
-    rest = arrival.path[len(SERVICES_PREFIX) :]
-    name, _slash, path = rest.partition('/')
+    remainder = received.path[len(SERVICES_PREFIX) :]
+    name, _slash, path = remainder.partition('/')
     name = name.partition('?')[0]
     row = tables.find_row(table, ServiceRow, name)
     if row is None:
-        return Failure(_unknown('path', name, 'service'))
+        return Failure(_unknown_name('path', name, 'service'))
     if not auth.may_call(customer, name):
         return Failure(_forbidden('path', customer, name))
     idempotent = options.idempotent and row.idempotent
     _check_key(options, idempotent, found)
     if found:
         return Failure(Rejection(400, tuple(found)))
-    ctx = _context(arrival, customer, options, 'service', name)
+    ctx = _context(received, customer, options, 'service', name)
     return Success(ctx._replace(idempotent=idempotent, path='/' + path))
 
 
 def _check_key(
-    options: Options, idempotent: bool, found: list[Finding]
+    options: RequestOptions, idempotent: bool, found: list[Finding]
 ) -> None:
     if idempotent:
         return
     if not options.key:
         found.append(
-            Finding(KEY_HEADER, 'must be given with a non-idempotent request')
+            Finding(
+                IDEMPOTENCY_KEY_HEADER,
+                'must be given with a non-idempotent request',
+            )
         )
         return
     if issued_at(options.key) is None:
         found.append(
             Finding(
-                KEY_HEADER,
+                IDEMPOTENCY_KEY_HEADER,
                 f'{options.key!r} is not <unix seconds of issue>-<any token>',
             )
         )
 
 
 def issued_at(key: str) -> float | None:
-    """Give the time of issue in an idempotency key, in unix seconds.
+    """Return the time of issue in an idempotency key, in Unix seconds.
 
     >>> issued_at('1790000000-letter-17')
     1790000000.0
@@ -299,40 +305,40 @@
 
 
 def _context(
-    arrival: ReceivedRequest,
+    received: ReceivedRequest,
     customer: CustomerRow,
-    options: Options,
+    options: RequestOptions,
     kind: str,
     name: str,
 ) -> RequestContext:
-    content_type = arrival.headers.get('Content-Type', 'application/json')
+    content_type = received.headers.get('Content-Type', 'application/json')
     return RequestContext(
-        request_id=arrival.request_id,
+        request_id=received.request_id,
         customer=customer.name,
         target=name,
         kind=kind,
         idempotent=options.idempotent,
         idempotency_key=options.key,
-        arrived=arrival.now,
+        arrived=received.now,
         deadline=options.deadline,
         priority=options.priority,
         prompt_tokens=0,
         max_tokens=0,
         stream=False,
-        method=arrival.method,
+        method=received.method,
         path='',
         content_type=content_type,
-        body=arrival.body,
-        fingerprint=_fingerprint(customer, name, arrival),
+        body=received.body,
+        fingerprint=_fingerprint(customer, name, received),
     )
 
 
 def _fingerprint(
-    customer: CustomerRow, name: str, arrival: ReceivedRequest
+    customer: CustomerRow, name: str, received: ReceivedRequest
 ) -> str:
-    parts = [customer.name, name, arrival.method, arrival.path]
+    parts = [customer.name, name, received.method, received.path]
     hasher = blake3.blake3('\0'.join(parts).encode())
-    hasher.update(b'\0' + arrival.body)
+    hasher.update(b'\0' + received.body)
     return hasher.hexdigest()
 
 
@@ -348,33 +354,35 @@
     return value
 
 
-def _member(
+def _get_member(
     body: dict[str, Any] | None,
     name: str,
-    wanted: type,
+    expected_type: type,
     default: Any,
     found: list[Finding],
 ) -> Any:
-    neutral = wanted() if default is None else default
+    fallback = expected_type() if default is None else default
     if body is None:
-        return neutral
+        return fallback
     value = body.get(name)
     if value is None:
         if default is None:
             found.append(Finding(f'body.{name}', 'must be given'))
-        return neutral
-    if type(value) is not wanted:
+        return fallback
+    if type(value) is not expected_type:
         found.append(
-            Finding(f'body.{name}', f'{value!r} is no {_TYPE_NAMES[wanted]}')
+            Finding(
+                f'body.{name}', f'{value!r} is no {_TYPE_NAMES[expected_type]}'
+            )
         )
-        return neutral
+        return fallback
     return value
 
 
 _TYPE_NAMES = {str: 'text', bool: 'true or false', int: 'whole number'}
 
 
-def _unknown(place: str, name: str, kind: str) -> Rejection:
+def _unknown_name(place: str, name: str, kind: str) -> Rejection:
     return Rejection(404, (Finding(place, f'no {kind} {name!r}'),))
 
 
--- a/packages/burdockchute/burdockchute/callers/server.py
+++ b/packages/burdockchute/burdockchute/callers/server.py
@@ -1,4 +1,4 @@
-"""gevent's WSGI server, bounded against callers that are slow or gone."""
+"""gevent's WSGI server with limits for slow and disconnected callers."""
 
 from __future__ import annotations
 
@@ -15,19 +15,20 @@
 
 from burdockchute.sockets import closed_by_peer
 
-# Time for the line and headers of a request once its first byte came, for a
-# connection without request, and for one write to a caller that reads.
-HEADERS_S = 10.0
-IDLE_S = 75.0
-WRITE_S = 30.0
+# Limits for receiving the request line and headers once the first byte has
+# arrived, for a connection without a request, and for one write to a caller.
+HEADERS_TIMEOUT_S = 10.0
+IDLE_TIMEOUT_S = 75.0
+WRITE_TIMEOUT_S = 30.0
 
-# What is left of a short body is read, so that its connection serves on.
+# Up to this much of an unread body is discarded, so that its connection can
+# be reused.
 MAX_DISCARD_BYTES = 64 * 1024
-DISCARD_S = 1.0
+DISCARD_TIMEOUT_S = 1.0
 
 SOCKET_KEY = 'burdockchute.socket'
-# The request target and the headers as they came; the server's own form of
-# them has lost escapes and spelling.
+# The request target and the headers as received; the server's own form of
+# them has lost escapes and the case of names.
 TARGET_KEY = 'burdockchute.target'
 HEADERS_KEY = 'burdockchute.headers'
 
@@ -37,7 +38,7 @@
 def make_server(
     address: str, port: int, app: Callable[..., Any]
 ) -> pywsgi.WSGIServer:
-    """Give a server that is not started; port 0 takes any free one."""
+    """Return a server that is not started; port 0 selects a free port."""
     return pywsgi.WSGIServer(
         (address, port),
         app,
@@ -48,7 +49,7 @@
 
 
 def status_line(status: int) -> str:
-    """Give an HTTP status with its phrase.
+    """Return an HTTP status code with its reason phrase.
 
     >>> status_line(429)
     '429 Too Many Requests'
@@ -57,57 +58,59 @@
 
 
 def caller_disconnected(environ: dict[str, Any]) -> bool:
-    """Tell whether the caller closed its connection.
+    """Whether the caller has closed its connection.
 
-    A task that waits for an answer writes nothing, so it would not see this
-    by itself, and the upstream would work for nobody.
+    A task that waits for an answer writes nothing and would not notice, and
+    the upstream would go on producing an answer that nobody reads.
     """
     sock = environ.get(SOCKET_KEY)
     return sock is not None and closed_by_peer(sock)
 
 
-class Body:
-    """The body of an answer; the server closes it when it is written."""
+class ResponseBody:
+    """A response body; the server closes it once it has been written."""
 
     def __init__(
-        self, parts: Iterable[bytes], written: Callable[[], None]
+        self, parts: Iterable[bytes], on_written: Callable[[], None]
     ) -> None:
         self._parts = parts
-        self._written = written
+        self._on_written = on_written
 
     def __iter__(self) -> Iterator[bytes]:
         return iter(self._parts)
 
     def close(self) -> None:
-        """Close the parts and tell that nothing more is written."""
+        """Close the parts and report that nothing more is written."""
         try:
             close = getattr(self._parts, 'close', None)
             if close is not None:
                 close()
         finally:
-            self._written()
+            self._on_written()
 
 
 class CountedApp:
-    """A WSGI application; `open` counts answers that aren't written whole."""
+    """A WSGI application that counts the answers not yet fully written."""
 
     def __init__(self, app: Callable[..., Iterable[bytes]]) -> None:
-        self.open = 0
+        self.open_answers = 0
         self._app = app
 
     def __call__(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
-    ) -> Body:
+    ) -> ResponseBody:
         """Answer one request."""
-        self.open += 1
+        self.open_answers += 1
         try:
-            return Body(self._app(environ, start_response), self._written)
+            return ResponseBody(
+                self._app(environ, start_response), self._count_down
+            )
         except BaseException:
-            self._written()
+            self._count_down()
             raise
 
-    def _written(self) -> None:
-        self.open -= 1
+    def _count_down(self) -> None:
+        self.open_answers -= 1
 
 
 class _Handler(pywsgi.WSGIHandler):
@@ -115,29 +118,29 @@
 
     def handle(self) -> None:
         # Headers and body, and the tokens of a stream, are small writes.
-        # Without this the kernel holds each back until the caller's kernel
+        # Without TCP_NODELAY the kernel delays each until the caller's kernel
         # has acknowledged the one before, which that delays by 40 ms.
         self.socket.setsockopt(sockets.IPPROTO_TCP, sockets.TCP_NODELAY, 1)
         super().handle()
 
     def read_requestline(self) -> str:
-        self.socket.settimeout(WRITE_S)
+        self.socket.settimeout(WRITE_TIMEOUT_S)
         try:
-            with gevent.Timeout(IDLE_S):
+            with gevent.Timeout(IDLE_TIMEOUT_S):
                 return super().read_requestline()
         except (gevent.Timeout, TimeoutError):
             return ''
 
     def read_request(self, raw_requestline: str) -> Any:
-        # A caller that sends a header now and then would hold a connection
-        # for as long as it likes.
+        # A caller that sends its headers one by one, slowly, could otherwise
+        # keep a connection open without limit.
         try:
-            with gevent.Timeout(HEADERS_S):
-                sound = super().read_request(raw_requestline)
+            with gevent.Timeout(HEADERS_TIMEOUT_S):
+                is_valid = super().read_request(raw_requestline)
         except (gevent.Timeout, TimeoutError):
             raise ValueError('headers did not come in time') from None
         _check_framing(self.headers)
-        return sound
+        return is_valid
 
     def get_environ(self) -> dict[str, Any]:
         env = super().get_environ()
@@ -145,56 +148,59 @@
         env[TARGET_KEY] = self.path
         env[HEADERS_KEY] = self.headers.items()
         if env['wsgi.input'] is self.wsgi_input:
-            self.wsgi_input = _input_like(self.wsgi_input)
+            self.wsgi_input = _bounded_input(self.wsgi_input)
             env['wsgi.input'] = self.wsgi_input
         return env
 
     def handle_one_response(self) -> None:
         super().handle_one_response()
-        if isinstance(self.wsgi_input, _Input) and self.wsgi_input.unread():
+        if (
+            isinstance(self.wsgi_input, _BoundedInput)
+            and self.wsgi_input.unread()
+        ):
             self.close_connection = True
 
 
 def _check_framing(headers: Any) -> None:
-    # Where two ends disagree on how long a body is, a second request can be
-    # hidden inside of it; whoever sends such a request is told so at once.
-    codings = headers.get_all('transfer-encoding') or []
+    # If two ends disagree on the length of a body, a second request can be
+    # hidden inside it (request smuggling), so such a request is refused.
+    encodings = headers.get_all('transfer-encoding') or []
     lengths = headers.get_all('content-length') or []
-    if codings and (len(codings) > 1 or codings[0].lower() != 'chunked'):
-        raise ValueError(f'transfer-encoding {codings!r} is not chunked')
-    if len(lengths) > 1 or (codings and lengths):
+    if encodings and (len(encodings) > 1 or encodings[0].lower() != 'chunked'):
+        raise ValueError(f'transfer-encoding {encodings!r} is not chunked')
+    if len(lengths) > 1 or (encodings and lengths):
         raise ValueError('the length of the body is said twice')
     if lengths and not lengths[0].strip().isdigit():
         raise ValueError(f'content-length {lengths[0]!r} is no size')
 
 
-class _Input(pywsgi.Input):
-    """A body of which a refused rest is not read."""
+class _BoundedInput(pywsgi.Input):
+    """A request body; what a refused request leaves of it is not read."""
 
     __slots__ = ()
 
     def unread(self) -> bool:
-        """Tell whether a part of the body is still in the connection."""
+        """Whether part of the body has not been read from the connection."""
         if self.chunked_input:
             return self.chunk_length != 0
         return self.position < (self.content_length or 0)
 
     def _discard(self) -> None:
-        # The server would read what an application leaves, so that the next
-        # request of the connection starts at its place. For a body that was
-        # refused as too long or too slow that is all the work which the
-        # refusal was to save; its connection is closed instead.
+        # The server would read what the application left unread, to find the
+        # start of the next request. For a body that was refused as too long
+        # or too slow, that is the work which the refusal was meant to save,
+        # so the connection is closed instead.
         if self.chunked_input:
             return
         left = (self.content_length or 0) - self.position
         if left > MAX_DISCARD_BYTES:
             return
-        with gevent.Timeout(DISCARD_S, OSError('body is slow')):
+        with gevent.Timeout(DISCARD_TIMEOUT_S, OSError('body is slow')):
             super()._discard()
 
 
-def _input_like(other: pywsgi.Input) -> _Input:
-    return _Input(
+def _bounded_input(other: pywsgi.Input) -> _BoundedInput:
+    return _BoundedInput(
         other.rfile,
         other.content_length,
         socket=other.socket,
--- a/packages/burdockchute/burdockchute/callers/sse.py
+++ b/packages/burdockchute/burdockchute/callers/sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events: the form in which a streamed answer goes out."""
+"""Server-sent events, the format of streamed answers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def data_event(data: bytes) -> bytes:
-    r"""Give one event of an answer.
+    r"""Return one event of an answer.
 
     >>> data_event(b'{"text": "a"}')
     b'data: {"text": "a"}\n\n'
@@ -19,9 +19,9 @@
 
 
 def outcome_event(fields: dict[str, object]) -> bytes:
-    """Give the last event, which says that the stream is at its end.
+    """Return the last event, which marks the end of the stream.
 
-    A stream that breaks off without it is not whole; a reader must not take
+    A stream that ends without it is incomplete, and a reader must not take
     it for a short answer.
     """
     text = json.dumps(fields)
--- a/packages/burdockchute/tests/callers/test_http.py
+++ b/packages/burdockchute/tests/callers/test_http.py
@@ -1,4 +1,4 @@
-"""What callers get over HTTP."""
+"""The HTTP interface towards callers."""
 
 from __future__ import annotations
 
@@ -101,7 +101,7 @@
 
     def test_stream_that_broke_says_so(self):
         # The upstream is lost after the first token. Without the last event
-        # a reader would take what came for the whole answer.
+        # a reader would take what arrived for the complete answer.
         self.replies = [
             AnswerStarted('d1', ''),
             Part(b'{}'),
@@ -192,8 +192,8 @@
         )
 
     def test_long_body_is_refused_without_reading_it(self):
-        # A caller announces gigabytes. The refusal comes although not one
-        # byte of the body has been sent, and the connection is closed.
+        # A caller announces a body of 5 GB. It is refused before any of the
+        # body is sent, and the connection is closed.
         sock = self.open_post(b'Content-Length: 5000000000\r\n\r\n')
         self.assertIn(b' 413 ', self.read_all(sock))
 
@@ -203,16 +203,16 @@
         self.assertIn(b' 413 ', self.read_all(sock))
 
     def test_slow_sending_caller_is_cut_off(self):
-        # A caller sends a few bytes of its body and then nothing more. It
-        # would hold its connection and buffers for ever.
+        # A caller sends a few bytes of its body and then nothing more. Its
+        # connection and buffers must not be kept without limit.
         sock = self.open_post(b'Content-Length: 100\r\n\r\nabc')
         self.assertIn(b' 408 ', self.read_all(sock))
         self.assertEqual([], self.submitted)
 
     def test_waiting_caller_that_hangs_up_is_noticed(self):
         # The caller closes its connection while it waits. Nothing is
-        # written to it, so nothing fails, and the upstream would work on
-        # an answer that nobody reads.
+        # written to it, so nothing fails, and the upstream would go on
+        # producing an answer that nobody reads.
         body = b'{"model": "story", "prompt": "a"}'
         head = b'Content-Length: %d\r\n\r\n' % len(body)
         sock = self.open_post(head + body)
--- a/packages/burdockchute/tests/callers/test_parse.py
+++ b/packages/burdockchute/tests/callers/test_parse.py
@@ -1,4 +1,4 @@
-"""Requests of callers, checked and resolved."""
+"""Validation of callers' requests."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from burdockchute_testing.builders import requests
 
 
-def arrival(**changes):
+def received(**changes):
     base = parse.ReceivedRequest(
         'r1', 'POST', '/v1/completions', {}, b'{}', now=100.0
     )
@@ -21,7 +21,7 @@
     def test_whole_request(self):
         body = b'{"model": "story", "prompt": "one two", "max_tokens": 7}'
         ctx = parse.parse_request(
-            arrival(
+            received(
                 body=body,
                 headers={
                     'Burdockchute-Deadline-Ms': '2500',
@@ -40,7 +40,7 @@
 
     def test_caller_can_not_raise_its_priority(self):
         rejected = parse.parse_request(
-            arrival(headers={'Burdockchute-Priority': '1'}),
+            received(headers={'Burdockchute-Priority': '1'}),
             requests.LINDWURM,
             requests.table_of(),
             60.0,
@@ -60,7 +60,7 @@
         table = requests.table_of()
         body = b'{"model": "story", "prompt": "a"}'
         seen = {
-            parse.parse_request(arrival(body=text), customer, table, 1.0)
+            parse.parse_request(received(body=text), customer, table, 1.0)
             .unwrap()
             .fingerprint
             for customer in (requests.LINDWURM, requests.SAHYOG)
