--- a/packages/burdockchute/burdockchute/upstreams/__init__.py
+++ b/packages/burdockchute/burdockchute/upstreams/__init__.py
@@ -1,3 +1,3 @@
-"""Engines and plain services that requests run on."""
+"""Clients of engines and plain services that run requests."""
 
 from __future__ import annotations
--- a/packages/burdockchute/burdockchute/upstreams/calls.py
+++ b/packages/burdockchute/burdockchute/upstreams/calls.py
@@ -1,10 +1,10 @@
 """One HTTP call to an upstream, sent at most once.
 
-The HTTP library sends a PUT or DELETE again by itself when its connection
-breaks, since HTTP calls these methods idempotent. A caller who marked the
-request as non-idempotent would then find that it ran twice. A call here
-opens a connection of its own, may take only that one, and says whether it
-got as far as being connected: a call that never was is certainly not run.
+The HTTP library resends a PUT or DELETE when its connection breaks, since
+HTTP defines these methods as idempotent. A request that its caller marked as
+non-idempotent would then run twice. A call made here opens its own connection
+and uses only that one, and reports whether it was established: a call that
+was never connected has certainly not run.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 
 
 class NotConnected(Exception):
-    """The upstream took no connection, so nothing was sent."""
+    """The upstream accepted no connection, so nothing was sent."""
 
 
 class AnswerFailed(Exception):
-    """The call was sent, and its answer did not come whole.
+    """The call was sent, and no complete answer was received.
 
-    `crashed` is true if the upstream ended the connection, false if it fell
-    silent or sent something else than was agreed.
+    `crashed` is true if the upstream closed the connection, false if it
+    stopped sending or sent an invalid answer.
     """
 
     def __init__(self, reason: str, crashed: bool = False) -> None:
@@ -39,7 +39,7 @@
 
 
 class Reply(NamedTuple):
-    """Status line and headers of an upstream; the body is still to come."""
+    """Status and headers of an answer whose body has not been read yet."""
 
     status: int
     content_type: str
@@ -57,11 +57,11 @@
 ) -> Reply:
     """Send one call; raises NotConnected or AnswerFailed.
 
-    `stall_s` is the longest wait for any next bytes. The reply must be
-    closed by its reader, also to cancel it.
+    `stall_s` limits the wait for the next bytes. The reader must close the
+    reply, also to cancel the call.
     """
     parts = parse.urlsplit(url)
-    client = _OneSendClient(
+    client = _SingleUseClient(
         parts.hostname,
         parts.port,
         connection_timeout=CONNECT_TIMEOUT_S,
@@ -69,14 +69,14 @@
     )
     try:
         response = client.request(method, path, body, headers)
-    except _FAILURES as exc:
+    except _NETWORK_ERRORS as exc:
         client.close()
         if client.connected:
-            raise _broken(exc) from exc
+            raise _to_answer_failed(exc) from exc
         raise NotConnected(str(exc)) from exc
     except BaseException:
-        # The greenlet is ended while it waits for the reply: its connection
-        # must not stay open until the collector finds it.
+        # The greenlet was killed while it waits for the reply. Its connection
+        # must not stay open until it is garbage collected.
         client.close()
         raise
 
@@ -93,52 +93,52 @@
 
 
 def read_body(reply: Reply, limit: int) -> bytes:
-    """Read the rest of a plain reply; raises AnswerFailed."""
+    """Read the body of a plain reply; raises AnswerFailed."""
     try:
         data = reply.response.read(limit + 1)
         if len(data) > limit:
             raise AnswerFailed(f'an answer over {limit} bytes')
         return bytes(data)
-    except _FAILURES as exc:
-        raise _broken(exc) from exc
+    except _NETWORK_ERRORS as exc:
+        raise _to_answer_failed(exc) from exc
 
 
 def events(reply: Reply) -> Iterator[str]:
-    """Give the data of each server-sent event; raises AnswerFailed."""
+    """Yield the data of each server-sent event; raises AnswerFailed."""
     try:
         for event in sseclient.SSEClient(_chunks(reply)).events():
             yield event.data
-    except _FAILURES as exc:
-        raise _broken(exc) from exc
+    except _NETWORK_ERRORS as exc:
+        raise _to_answer_failed(exc) from exc
 
 
-_FAILURES = (OSError, TimeoutError, responses.HTTPParseError)
+_NETWORK_ERRORS = (OSError, TimeoutError, responses.HTTPParseError)
 
 
-def _broken(exc: BaseException) -> AnswerFailed:
+def _to_answer_failed(exc: BaseException) -> AnswerFailed:
     reason = str(exc) or type(exc).__name__
     return AnswerFailed(reason, crashed=not isinstance(exc, TimeoutError))
 
 
-class _OneSendClient(geventhttpclient.HTTPClient):
+class _SingleUseClient(geventhttpclient.HTTPClient):
     def __init__(self, *args: Any, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
         self.connected = False
-        self._open = self._connection_pool.get_socket
+        self._open_socket = self._connection_pool.get_socket
         pool: Any = self._connection_pool
         pool.get_socket = self._get_socket_once
 
     def _get_socket_once(self) -> Any:
         if self.connected:
             raise ConnectionError('broke after it was sent')
-        sock = self._open()
+        sock = self._open_socket()
         self.connected = True
         return sock
 
 
 def _chunks(reply: Reply) -> Iterator[bytes]:
-    # An event ends with an empty line; readline hands each line on as soon
-    # as it is there, where a read of a fixed size would hold tokens back.
+    # An event ends with an empty line. readline returns each line as soon as
+    # it has arrived; a read of a fixed size would delay tokens.
     while True:
         line = reply.response.readline(b'\n')
         if not line:
--- a/packages/burdockchute/burdockchute/upstreams/connections.py
+++ b/packages/burdockchute/burdockchute/upstreams/connections.py
@@ -1,9 +1,9 @@
-"""Connections to upstreams that are kept and used for many requests.
+"""Persistent connections to upstreams, reused for many requests.
 
-One request at a time is on a connection. Its answer is parsed as it comes,
-so that the events of a stream can be passed on at once, and so that nothing
-but that answer is ever taken for it: bytes after its end, an answer to an
-earlier request that comes late, or an answer that breaks off.
+A connection has one request at a time. The answer is parsed as it arrives, so
+that the events of a stream can be forwarded at once, and so that nothing else
+is mistaken for it: bytes after its end, a late answer to an earlier request,
+or an answer that was cut off.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 from burdockchute.model.upstreams import Endpoint
 from burdockchute.sockets import is_readable
 
-# Upstreams stand a few milliseconds away and take a connection at once. One
-# that has not after this long is dark or full, and the request had better go
-# elsewhere; it was certainly not sent.
+# Upstreams are a few milliseconds away and accept connections at once. One
+# that has not done so by then is unreachable or full, and the request is
+# better sent to another; it was certainly not sent to this one.
 CONNECT_TIMEOUT_S = 0.4
 
-# A wait for bytes is broken off this often, so that whoever waits can look
-# whether the upstream has fallen silent or the time is up.
+# A wait for bytes is interrupted this often, so that the caller can check
+# whether the upstream has gone silent or the deadline has passed.
 POLL_INTERVAL_S = 0.25
 
-READ_BYTES = 64 * 1024
+RECEIVE_BYTES = 64 * 1024
 
 HeaderList = Iterable[tuple[str, str]]
 
@@ -50,22 +50,23 @@
 
 
 class NoDataYet(Exception):
-    """Nothing came for a while; the call may be made again to wait on."""
+    """Nothing arrived within the poll interval; the call may be repeated."""
 
 
 class _Parser(responses.HTTPResponse):
-    """Takes the answer that is ours and skips one that is not.
+    """Parses the answer to the current request and skips any other.
 
-    `is_ours` is asked with the status and headers of each answer.
+    `is_expected` decides by the status and headers of an answer whether it is
+    the one to the current request.
     """
 
     def __init__(
-        self, method: str, is_ours: Callable[[int, HeaderList], bool]
+        self, method: str, is_expected: Callable[[int, HeaderList], bool]
     ) -> None:
         super().__init__(method=method)
         self.skipping = False
-        self.dirty = False
-        self._is_ours = is_ours
+        self.has_extra_bytes = False
+        self._is_expected = is_expected
 
     @property
     def has_head(self) -> bool:
@@ -76,26 +77,28 @@
         )
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         return self.message_complete and self.has_head
 
-    def take_body(self) -> bytes:
+    def pop_body(self) -> bytes:
         data = bytes(self._body_buffer)
         del self._body_buffer[:]
         return data
 
     def _on_message_begin(self) -> None:
-        if self.is_whole:
-            # The library would take what follows for one more answer, and
-            # forget the one that is whole.
-            self.dirty = True
+        if self.is_complete:
+            # The library would parse what follows as another answer and
+            # discard the complete one.
+            self.has_extra_bytes = True
             raise responses.HTTPProtocolViolationError('bytes after the end')
         super()._on_message_begin()
 
     def _on_headers_complete(self) -> int | bool | None:
         skip_body = super()._on_headers_complete()
         code = self.get_code()
-        self.skipping = code >= 200 and not self._is_ours(code, self.items())
+        self.skipping = code >= 200 and not self._is_expected(
+            code, self.items()
+        )
         return skip_body
 
     def _on_body(self, buf: bytearray) -> None:
@@ -104,7 +107,7 @@
 
 
 class Connection:
-    """One connection; `idle_until` is when its upstream may close it."""
+    """One connection; its upstream may close it from `idle_until` on."""
 
     def __init__(self, sock: Any) -> None:
         self.idle_until = 0.0
@@ -116,13 +119,14 @@
         self,
         data: bytes,
         method: str,
-        is_ours: Callable[[int, HeaderList], bool],
+        is_expected: Callable[[int, HeaderList], bool],
     ) -> None:
         """Send a request; raises AnswerFailed.
 
-        `is_ours` tells by status and headers whether an answer is to it.
+        `is_expected` decides by the status and headers of an answer whether
+        it is the one to this request.
         """
-        self._parser = _Parser(method, is_ours)
+        self._parser = _Parser(method, is_expected)
         self.used = True
         try:
             self._sock.sendall(data)
@@ -132,76 +136,76 @@
             raise AnswerFailed(f'could not be sent: {exc}', True) from exc
 
     def read_head(self) -> tuple[int, list[tuple[str, str]]]:
-        """Wait for status and headers of the answer.
+        """Wait for the status and headers of the answer.
 
-        Raises AnswerFailed, or NoDataYet if nothing came for a while.
+        Raises AnswerFailed, or NoDataYet after a poll interval without data.
         """
-        parser = self._answer()
+        parser = self._current_parser()
         while not parser.has_head:
             if not self._receive(parser):
                 raise AnswerFailed('ended before the answer began', True)
         return parser.get_code(), list(parser.items())
 
     def read_body_part(self) -> bytes:
-        """Wait for more of the body; gives nothing at its end.
+        """Wait for the next bytes of the body; empty at its end.
 
-        Raises AnswerFailed, or NoDataYet if nothing came for a while.
+        Raises AnswerFailed, or NoDataYet after a poll interval without data.
         """
-        parser = self._answer()
+        parser = self._current_parser()
         while True:
-            data = parser.take_body()
-            if data or parser.is_whole:
+            data = parser.pop_body()
+            if data or parser.is_complete:
                 return data
-            if not self._receive(parser) and not parser.is_whole:
+            if not self._receive(parser) and not parser.is_complete:
                 raise AnswerFailed('ended within the answer', True)
 
     @property
     def is_reusable(self) -> bool:
-        """Whether the answer is whole and another request may follow."""
+        """Whether the answer is complete and another request may follow."""
         parser = self._parser
         return (
             parser is not None
-            and parser.is_whole
-            and not parser.dirty
+            and parser.is_complete
+            and not parser.has_extra_bytes
             and not parser.should_close()
         )
 
     def is_quiet(self) -> bool:
-        """Tell whether nothing has come since the last answer.
+        """Whether nothing has arrived since the last answer.
 
-        An upstream that has closed the connection, or has sent bytes that
-        belong to no request, can't be sent another.
+        If the upstream has closed the connection, or has sent bytes that
+        belong to no request, the connection can't be reused.
         """
         return not is_readable(self._sock)
 
     def set_poll_interval(self, seconds: float) -> None:
-        """Break off waits for bytes this often, not POLL_INTERVAL_S."""
+        """Set how often waits are interrupted, by default POLL_INTERVAL_S."""
         self._sock.settimeout(seconds)
 
     def close(self) -> None:
-        """Close the connection, which also cancels what runs on it."""
+        """Close the connection, which also cancels its request."""
         self._sock.close()
 
-    def _answer(self) -> _Parser:
+    def _current_parser(self) -> _Parser:
         assert self._parser is not None, 'nothing was sent'
         return self._parser
 
     def _receive(self, parser: _Parser) -> bool:
         try:
-            data = self._sock.recv(READ_BYTES)
+            data = self._sock.recv(RECEIVE_BYTES)
         except TimeoutError:
             raise NoDataYet from None
         except OSError as exc:
             raise AnswerFailed(f'reset: {exc}', True) from exc
         try:
-            # Without data the parser learns that the connection has ended,
-            # which is the end of an answer that states no length.
+            # Empty data tells the parser that the connection was closed,
+            # which is the end of an answer without a length.
             parser.feed(data)
         except responses.HTTPParseError as exc:
-            if not parser.is_whole:
+            if not parser.is_complete:
                 reason = f'no answer in the protocol: {exc}'
                 raise AnswerFailed(reason, not data) from exc
-            parser.dirty = True
+            parser.has_extra_bytes = True
         return bool(data)
 
 
--- a/packages/burdockchute/burdockchute/upstreams/events.py
+++ b/packages/burdockchute/burdockchute/upstreams/events.py
@@ -1,7 +1,7 @@
-r"""Cuts a stream into whole events.
+r"""Splits a stream into complete events.
 
-Only whole events are passed on: of one that breaks off within, the caller
-would have bytes that no resumed stream can continue.
+Only complete events are forwarded: if a stream broke off within an event, the
+caller would have bytes that no resumed stream can continue.
 
 >>> splitter = EventSplitter()
 >>> splitter.feed(b'id: 1\ndata: a\n\nid: 2\nda')
@@ -20,20 +20,20 @@
 
 
 class Event(NamedTuple):
-    """One event with its end; `id` is empty for an event without one."""
+    """One event with its terminator; `id` is empty if it has none."""
 
     id: str
     data: bytes
 
 
 class EventSplitter:
-    """Bytes of a stream as they come, given out event by event."""
+    """Collects the bytes of a stream and returns them event by event."""
 
     def __init__(self) -> None:
         self.partial_event = b''
 
     def feed(self, data: bytes) -> list[Event]:
-        """Take more bytes and give the events that are whole now."""
+        """Add received bytes and return the events that are now complete."""
         self.partial_event += data
         found = []
         start = 0
--- a/packages/burdockchute/burdockchute/upstreams/orders.py
+++ b/packages/burdockchute/burdockchute/upstreams/orders.py
@@ -1,9 +1,10 @@
-"""Orders to an engine, and the state that it reports.
+"""Client of an engine: load and unload orders, and its reported state.
 
-An order carries the fencing number of the agent that gives it. An engine
-that checks numbers refuses an old one; one that does not may obey an agent
-that was paused and replaced meanwhile. So no caller of this module may take
-an accepted order for a loaded version: only what `state` gives counts.
+An order carries the fencing number of the agent that sends it. An engine
+that checks fencing numbers refuses an older one; an engine that does not may
+obey an agent that was paused and has been replaced. Callers must therefore
+not take an accepted order for a loaded version: only `state` tells which
+versions are loaded.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 
 
 class EngineState(NamedTuple):
-    """What an engine reports about itself."""
+    """The state that an engine reports."""
 
     fence: int
     checks_fencing: bool
@@ -41,10 +42,10 @@
 
 
 class Order(NamedTuple):
-    """Load or unload one set of weights.
+    """An order to load or unload one set of weights.
 
-    `source` is the URL that the engine fetches the content from, and
-    `deadline_ms` how long the order is good for.
+    `source` is the URL from which the engine fetches the content, and
+    `deadline_ms` the time for which the order is valid.
     """
 
     order: str
@@ -59,13 +60,13 @@
 
 
 class OrderRefused(NamedTuple):
-    """The engine has seen the higher number `fence`."""
+    """The engine has seen the higher fencing number `fence`."""
 
     fence: int
 
 
 class EngineError(NamedTuple):
-    """No usable reply; whether an order took effect can't be told."""
+    """No usable reply; an order may or may not have taken effect."""
 
     text: str
     status: int = 0
@@ -86,17 +87,17 @@
         )
 
     def state(self) -> Result[EngineState, EngineError]:
-        """Ask for what is loaded now."""
+        """Read the weights that are loaded and being loaded."""
         reply = self._call('GET', '/state', b'', 200)
         if isinstance(reply, Failure):
             return reply
         try:
-            return Success(_state_of(json.loads(reply.unwrap())))
+            return Success(_parse_state(json.loads(reply.unwrap())))
         except (ValueError, KeyError, TypeError) as exc:
             return Failure(EngineError(f'no engine state: {exc!r}'))
 
     def send(self, order: Order) -> Result[str, OrderRefused | EngineError]:
-        """Give an order; the order's id if the engine took it."""
+        """Send an order; returns its id if the engine accepted it."""
         body = json.dumps(order._asdict()).encode()
         reply = self._call('POST', '/orders', body, 202)
         if isinstance(reply, Failure):
@@ -111,7 +112,7 @@
         self._client.close()
 
     def _call(
-        self, method: str, path: str, body: bytes, wanted: int
+        self, method: str, path: str, body: bytes, expected_status: int
     ) -> Result[bytes, EngineError]:
         headers = {'Content-Type': 'application/json'} if body else {}
         try:
@@ -121,9 +122,9 @@
             data = bytes(resp.read())
         except Exception as exc:
             # The client raises errors of several unrelated types when a
-            # reply breaks off; all mean the same here.
+            # reply is cut off; all mean the same here.
             return Failure(EngineError(f'{type(exc).__name__}: {exc}'))
-        if resp.status_code != wanted:
+        if resp.status_code != expected_status:
             text = data.decode(errors='replace')
             return Failure(EngineError(text, resp.status_code))
         return Success(data)
@@ -138,16 +139,16 @@
         return error
 
 
-def _state_of(document: Any) -> EngineState:
+def _parse_state(document: Any) -> EngineState:
     return EngineState(
         fence=int(document['fence']),
         checks_fencing=bool(document['checks_fencing']),
-        loaded=frozenset(_loaded_of(item) for item in document['loaded']),
-        loading=frozenset(_loaded_of(item) for item in document['loading']),
+        loaded=frozenset(_parse_loaded(item) for item in document['loaded']),
+        loading=frozenset(_parse_loaded(item) for item in document['loading']),
     )
 
 
-def _loaded_of(item: Any) -> LoadedWeights:
+def _parse_loaded(item: Any) -> LoadedWeights:
     return LoadedWeights(
         str(item['kind']),
         str(item['name']),
--- a/packages/burdockchute/tests/upstreams/test_calls.py
+++ b/packages/burdockchute/tests/upstreams/test_calls.py
@@ -1,4 +1,4 @@
-"""Calls to upstreams: sent at most once, and told apart how they failed."""
+"""Calls to upstreams: sent at most once, with failures told apart."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 class CallsTest(unittest.TestCase):
     def serve(self, answer: bytes) -> str:
-        self.heads: list[bytes] = []
+        self.received_heads: list[bytes] = []
 
         def handle(sock: socket.socket, _address: object) -> None:
-            self.heads.append(sock.recv(65536))
+            self.received_heads.append(sock.recv(65536))
             sock.sendall(answer)
 
         listening = server.StreamServer(('127.0.0.1', 0), handle)
@@ -31,19 +31,19 @@
         return reply
 
     def test_call_broken_off_is_not_sent_again(self):
-        # A service runs a PUT, which its operator marked as not repeatable,
-        # and dies before it answers. The HTTP library holds every PUT for
-        # idempotent and sends it again; a recipient would get two letters.
+        # A service runs a PUT that is marked as non-idempotent, and crashes
+        # before it answers. The HTTP library treats every PUT as idempotent
+        # and would resend it, so that it would run twice.
         for method in ('PUT', 'DELETE', 'GET', 'POST'):
             with self.subTest(method):
                 url = self.serve(b'')
                 with self.assertRaises(calls.AnswerFailed) as caught:
                     self.send(url, method)
                 self.assertTrue(caught.exception.crashed)
-                self.assertEqual(1, len(self.heads))
+                self.assertEqual(1, len(self.received_heads))
 
     def test_refused_connection_is_certainly_not_run(self):
-        # The upstream's process has gone and its port is closed. Nothing was
+        # The upstream's process has ended and its port is closed. Nothing was
         # sent, so the caller may be told that the request was not run.
         with socket.socket() as unused:
             unused.bind(('127.0.0.1', 0))
@@ -52,8 +52,8 @@
             self.send(f'http://127.0.0.1:{port}')
 
     def test_short_body_is_broken(self):
-        # The upstream dies in the middle of its answer. Passing on what came
-        # would give a caller half a letter that looks whole.
+        # The upstream crashes in the middle of its answer. If the part that
+        # arrived were forwarded, the caller would take it for complete.
         reply = self.send(
             self.serve(b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf')
         )
--- a/packages/burdockchute/tests/upstreams/test_connections.py
+++ b/packages/burdockchute/tests/upstreams/test_connections.py
@@ -1,4 +1,4 @@
-"""Answers on kept connections, good ones and others."""
+"""Complete and failed answers on persistent connections."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from burdockchute.upstreams.connections import NoDataYet
 from burdockchute.upstreams.connections import NotConnected
 
-ASK = b'GET / HTTP/1.1\r\nHost: a\r\n\r\n'
-REST = b'HTTP/1.1 200 OK\r\nX-Id: %b\r\nContent-Length: 2\r\n\r\nok'
+REQUEST = b'GET / HTTP/1.1\r\nHost: a\r\n\r\n'
+ANSWER = b'HTTP/1.1 200 OK\r\nX-Id: %b\r\nContent-Length: 2\r\n\r\nok'
 CHUNKED = b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n'
 
 
-def is_ours(name: str) -> Callable:
+def is_answer_to(name: str) -> Callable:
     def check(status, headers):
         return dict(headers).get('X-Id', name) == name
 
@@ -29,7 +29,7 @@
 
 class ConnectionsTest(unittest.TestCase):
     def connect(self, *answers):
-        """Connect to a server that gives these answers, one a request."""
+        """Connect to a server that sends these answers, one per request."""
 
         def serve(sock, _address):
             for answer in answers:
@@ -46,8 +46,8 @@
         self.addCleanup(conn.close)
         return conn
 
-    def ask(self, conn, name='1'):
-        conn.send(ASK, 'GET', is_ours(name))
+    def exchange(self, conn, name='1'):
+        conn.send(REQUEST, 'GET', is_answer_to(name))
         status, _headers = conn.read_head()
         body = b''
         while data := conn.read_body_part():
@@ -55,14 +55,14 @@
         return status, body
 
     def test_two_requests_on_one_connection(self):
-        conn = self.connect([REST % b'1'], [REST % b'2'])
-        self.assertEqual((200, b'ok'), self.ask(conn, '1'))
+        conn = self.connect([ANSWER % b'1'], [ANSWER % b'2'])
+        self.assertEqual((200, b'ok'), self.exchange(conn, '1'))
         self.assertTrue(conn.is_reusable)
-        self.assertEqual((200, b'ok'), self.ask(conn, '2'))
+        self.assertEqual((200, b'ok'), self.exchange(conn, '2'))
 
     def test_parts_come_as_they_are_sent(self):
         conn = self.connect([CHUNKED, b'1\r\na\r\n', b'1\r\nb\r\n0\r\n\r\n'])
-        conn.send(ASK, 'GET', is_ours('1'))
+        conn.send(REQUEST, 'GET', is_answer_to('1'))
         conn.read_head()
         self.assertEqual(
             [b'a', b'b', b''],
@@ -82,24 +82,24 @@
             with self.subTest(sent=sent):
                 conn = self.connect(sent)
                 with self.assertRaises(AnswerFailed) as caught:
-                    self.ask(conn)
+                    self.exchange(conn)
                 self.assertTrue(caught.exception.closed_by_upstream)
 
     def test_bytes_that_are_no_answer_are_broken(self):
         conn = self.connect([b'hello there\r\n\r\n'])
         with self.assertRaises(AnswerFailed) as caught:
-            self.ask(conn)
+            self.exchange(conn)
         self.assertFalse(caught.exception.closed_by_upstream)
 
     def test_an_answer_without_length_ends_with_its_connection(self):
         conn = self.connect([b'HTTP/1.1 200 OK\r\n\r\nab', b'cd'])
-        self.assertEqual((200, b'abcd'), self.ask(conn))
+        self.assertEqual((200, b'abcd'), self.exchange(conn))
         self.assertFalse(conn.is_reusable)
 
     def test_an_answer_without_length_that_is_reset_is_broken(self):
-        """A server crashes in an answer whose end its connection marks.
+        """A server crashes within an answer that ends with its connection.
 
-        The reset is all that tells it from a whole one.
+        Only the reset distinguishes it from a complete one.
         """
 
         def serve(sock, _address):
@@ -116,38 +116,38 @@
         self.addCleanup(serving.stop)
         conn = connections.connect(Endpoint('127.0.0.1', serving.server_port))
         with self.assertRaises(AnswerFailed):
-            self.ask(conn)
+            self.exchange(conn)
 
     def test_what_follows_an_answer_spoils_the_connection(self):
-        for extra in (b'x', REST % b'1'):
+        for extra in (b'x', ANSWER % b'1'):
             with self.subTest(extra=extra):
-                conn = self.connect([REST % b'1' + extra])
-                self.assertEqual((200, b'ok'), self.ask(conn))
+                conn = self.connect([ANSWER % b'1' + extra])
+                self.assertEqual((200, b'ok'), self.exchange(conn))
                 self.assertFalse(conn.is_reusable)
 
     def test_answer_to_another_request_is_skipped(self):
         for parts in (
-            [REST % b'0', REST % b'1'],
-            [REST % b'0' + REST % b'1'],
+            [ANSWER % b'0', ANSWER % b'1'],
+            [ANSWER % b'0' + ANSWER % b'1'],
         ):
             with self.subTest(parts=parts):
                 conn = self.connect(parts)
-                self.assertEqual((200, b'ok'), self.ask(conn, '1'))
+                self.assertEqual((200, b'ok'), self.exchange(conn, '1'))
                 self.assertTrue(conn.is_reusable)
 
     def test_only_an_answer_to_another_request_is_broken(self):
-        conn = self.connect([REST % b'0'])
+        conn = self.connect([ANSWER % b'0'])
         with self.assertRaises(AnswerFailed):
-            self.ask(conn, '1')
+            self.exchange(conn, '1')
 
     def test_interim_answers_are_skipped(self):
-        conn = self.connect([b'HTTP/1.1 100 Continue\r\n\r\n' + REST % b'1'])
-        self.assertEqual((200, b'ok'), self.ask(conn))
+        conn = self.connect([b'HTTP/1.1 100 Continue\r\n\r\n' + ANSWER % b'1'])
+        self.assertEqual((200, b'ok'), self.exchange(conn))
 
     def test_waiting_may_go_on(self):
-        conn = self.connect([REST % b'1'])
+        conn = self.connect([ANSWER % b'1'])
         conn._sock.settimeout(0.001)
-        conn.send(ASK, 'GET', is_ours('1'))
+        conn.send(REQUEST, 'GET', is_answer_to('1'))
         waits = 0
         while True:
             try:
@@ -158,8 +158,8 @@
         self.assertLess(waits, 1000)
 
     def test_a_closed_connection_is_not_quiet(self):
-        conn = self.connect([REST % b'1'])
-        self.ask(conn)
+        conn = self.connect([ANSWER % b'1'])
+        self.exchange(conn)
         gevent.sleep(0.05)
         self.assertFalse(conn.is_quiet())
 
--- a/packages/burdockchute/tests/upstreams/test_events.py
+++ b/packages/burdockchute/tests/upstreams/test_events.py
@@ -1,4 +1,4 @@
-"""Cutting a stream into whole events."""
+"""Splitting a stream into complete events."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 class EventsTest(unittest.TestCase):
     @given(st.lists(st.integers(0, len(STREAM)), max_size=6))
     def test_cuts_alike_however_the_bytes_come(self, places):
-        """The network hands a stream over in pieces of any size.
+        """The network delivers a stream in pieces of any size.
 
-        An event that is passed on before it is whole can't be taken back
-        when its engine crashes.
+        An event that is forwarded before it is complete can't be taken back
+        if its engine crashes.
         """
         splitter = EventSplitter()
         found = []
--- a/packages/burdockchute/tests/upstreams/test_gate.py
+++ b/packages/burdockchute/tests/upstreams/test_gate.py
@@ -27,9 +27,9 @@
         )
 
     def test_switch_sees_requests_inside(self):
-        # The row names a new version while a page is being written. If the
-        # old weights went now, the page would end in other weights or in
-        # none.
+        # The row names a new version while a request runs. If the old weights
+        # were unloaded now, the answer would end with other weights or not at
+        # all.
         self.gate.enter('story', 'old', '')
         self.gate.close(OLD)
         self.assertIsNotNone(self.gate.enter('story', 'old', ''))
@@ -38,8 +38,8 @@
         self.assertEqual([], self.gate.states())
 
     def test_adapter_request_is_inside_both_gates(self):
-        # A request runs on an adapter while its base model is switched. The
-        # answer names both digests and neither may change under it.
+        # The base model of an adapter is switched while a request runs on it.
+        # The answer names both digests, and neither may change meanwhile.
         self.gate.open(RHYMES, 'story')
         self.assertIsNone(self.gate.enter('rhymes', 'old', 'ad'))
         self.gate.close(OLD)
@@ -54,10 +54,10 @@
         self.assertEqual(1, self.gate.in_flight(RHYMES))
 
     def test_adapter_moves_to_another_base_under_a_request(self):
-        # An operator gives an adapter another base model while a request to
-        # it runs. Counted out of the new base's gate, the request would stay
-        # counted in the old one's: that version could never be unloaded, and
-        # the next one never loaded.
+        # An operator changes the base model of an adapter while a request to
+        # it runs. If the request left the gate of the new base, it would stay
+        # counted in that of the old one, whose version could then never be
+        # unloaded, nor the next one loaded.
         other = Weights('model', 'letters', 'old')
         self.gate.open(other)
         self.gate.open(RHYMES, 'story')
@@ -80,8 +80,8 @@
         )
 
     def test_base_model_name_is_no_adapter(self):
-        # A request pinned to an adapter's digests must not pass as a plain
-        # one on the base model.
+        # A request pinned to an adapter's digests must not be admitted as one
+        # to the base model.
         self.gate.open(RHYMES, 'story')
         self.assertIsNotNone(self.gate.enter('rhymes', 'old', ''))
         self.assertIsNotNone(self.gate.enter('story', 'old', 'ad'))
