--- a/packages/burdockchute/burdockchute/platform/http_json.py
+++ b/packages/burdockchute/burdockchute/platform/http_json.py
@@ -1,9 +1,9 @@
-"""One HTTP request that gives JSON, with a deadline on the whole of it.
+"""HTTP requests with a deadline on the complete response, decoded as JSON.
 
-A connection can go silent for good, or its answer can trickle; either would
-hold the caller for ever if only each read had a timeout. Where an answer may
-be long and the link thin, each part of a given size has a deadline instead,
-so that one that comes along is not given up.
+A connection can go silent for good, or its response can trickle in; with a
+timeout on each read only, either could block the caller without limit. Where
+a response may be long and the link slow, each part of a given size has a
+deadline instead, so that a response that makes progress is not cancelled.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 
 CONNECT_TIMEOUT_S = 2.0
 
-# The library adds one to what its pool says.
-NO_REPEATS = -1
+# The library makes one attempt more than the size of its pool says.
+POOL_SIZE_WITHOUT_RETRIES = -1
 
-# At 1 Mbit/s, what the thinnest links are squeezed to, this takes 0.13 s.
+# At 1 Mbit/s, the rate to which the slowest links drop, this takes 0.13 s.
 PART_BYTES = 16 * 1024
 
 
 class RawReply(NamedTuple):
-    """Status, body and headers of an answer; names are in lower case."""
+    """Status, body and headers of a response; header names in lower case."""
 
     status: int
     body: bytes
@@ -40,7 +40,7 @@
 
 
 class Reply(NamedTuple):
-    """Status and JSON of an answer; None where the body is no JSON."""
+    """Status and JSON of a response; `body` is None if it is no JSON."""
 
     status: int
     body: Any
@@ -48,13 +48,13 @@
 
 
 class NotSent(NamedTuple):
-    """No connection was made, so the other side knows nothing of it."""
+    """No connection was made, so the request did not reach the server."""
 
     reason: str
 
 
 class NoReply(NamedTuple):
-    """It may have taken effect, but no whole answer came."""
+    """No complete response; the request may have taken effect."""
 
     reason: str
 
@@ -79,9 +79,9 @@
         network_timeout=None,
     )
     if not with_retries:
-        # The library repeats as often as its pool has connections and once
+        # The library retries once for each connection of its pool and once
         # more. It has no setting for that.
-        client._connection_pool.size = NO_REPEATS
+        client._connection_pool.size = POOL_SIZE_WITHOUT_RETRIES
     return client
 
 
@@ -94,7 +94,7 @@
 ) -> Result[Reply, NotSent | NoReply]:
     """Make one request for JSON, as `fetch` does."""
     return fetch(client, method, path, body.encode(), timeout_s).map(
-        lambda raw: Reply(raw.status, _json(raw.body), raw.retry_after_s)
+        lambda raw: Reply(raw.status, _parse_json(raw.body), raw.retry_after_s)
     )
 
 
@@ -118,31 +118,31 @@
             if part_timeout_s is None:
                 data = bytes(response.read())
         if part_timeout_s is not None:
-            data = _by_parts(response, part_timeout_s)
+            data = _read_in_parts(response, part_timeout_s)
         return Success(
             RawReply(
                 response.status_code,
                 data,
-                _seconds(response.get('retry-after')),
+                _parse_seconds(response.get('retry-after')),
                 {name.lower(): value for name, value in response.items()},
             )
         )
     except gevent.Timeout:
-        # It is no OSError, which the library might take for a connection
-        # that broke, and go on without any bound.
+        # This is not an OSError, which the library could take for a broken
+        # connection and retry without a time limit.
         return Failure(NoReply('no answer in time'))
     except (ConnectionRefusedError, socket.gaierror) as exc:
         return Failure(NotSent(str(exc)))
     except (OSError, geventhttpclient.response.HTTPParseError) as exc:
         return Failure(NoReply(str(exc) or type(exc).__name__))
     finally:
-        # An answer that was not read to its end must not lend its
-        # connection to the next request, which would read the rest of it.
+        # The connection of a response that was not fully read must not be
+        # reused: the next request would read the remainder.
         if response is not None and not response.message_complete:
             response.release()
 
 
-def _by_parts(response: Any, part_timeout_s: float) -> bytes:
+def _read_in_parts(response: Any, part_timeout_s: float) -> bytes:
     parts: list[bytes] = []
     while True:
         with gevent.Timeout(part_timeout_s):
@@ -152,14 +152,14 @@
         parts.append(part)
 
 
-def _json(data: bytes) -> Any:
+def _parse_json(data: bytes) -> Any:
     try:
         return json.loads(data)
     except ValueError:
         return None
 
 
-def _seconds(text: Any) -> float:
+def _parse_seconds(text: Any) -> float:
     try:
         return max(0.0, float(text or 0))
     except (TypeError, ValueError):
--- a/packages/burdockchute/burdockchute/platform/instances.py
+++ b/packages/burdockchute/burdockchute/platform/instances.py
@@ -1,7 +1,7 @@
 """Client of the platform's list of instances.
 
-The list lags: an instance that has just come is missing and one that has
-gone is still listed, so what it says is one voice beside our own heartbeats.
+The list lags: a new instance is missing and one that has stopped is still
+listed, so it is only one source of information beside our own heartbeats.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 
 
 class ListUnavailable(NamedTuple):
-    """The list could not be read; go on with what was known."""
+    """The list could not be read; its last state remains in use."""
 
     reason: str
 
 
 class InstanceList:
-    """The platform's list over one kept connection."""
+    """Reads the platform's list over one persistent connection."""
 
     def __init__(self, url: str, timeout_s: float = TIMEOUT_S) -> None:
         self._client = http_json.make_client(url, concurrency=1)
         self._timeout_s = timeout_s
 
     def fetch(self) -> Result[list[Member], ListUnavailable]:
-        """Give the members listed; items that make no sense are left out."""
+        """Return the listed members; invalid items are left out."""
         return _fetch(self._client, self._timeout_s)
 
 
@@ -54,10 +54,10 @@
 def _fetch(
     client: geventhttpclient.HTTPClient, timeout_s: float
 ) -> Result[list[Member], ListUnavailable]:
-    asked = http_json.request_json(client, 'GET', '/instances', '', timeout_s)
-    if isinstance(asked, Failure):
-        return Failure(ListUnavailable(asked.failure().reason))
-    reply = asked.unwrap()
+    result = http_json.request_json(client, 'GET', '/instances', '', timeout_s)
+    if isinstance(result, Failure):
+        return Failure(ListUnavailable(result.failure().reason))
+    reply = result.unwrap()
     if reply.status != 200:
         return Failure(ListUnavailable(f'status {reply.status}'))
     try:
--- a/packages/burdockchute/burdockchute/platform/log.py
+++ b/packages/burdockchute/burdockchute/platform/log.py
@@ -1,8 +1,8 @@
 """Client of the platform's append-only log service.
 
-A stream has records at rising offsets, kept for a limited time. Errors are
-typed, since each asks for another reaction: wait, start from a snapshot,
-slow down, or look whether the append took effect.
+A stream has records at increasing offsets, kept for a limited time. Errors
+are typed, since each requires a different reaction: wait, start from a
+snapshot, slow down, or check whether the append took effect.
 """
 
 from __future__ import annotations
@@ -24,19 +24,19 @@
 
 
 class Unavailable(NamedTuple):
-    """The service did not take the request; nothing was appended."""
+    """The service did not accept the request; nothing was appended."""
 
     reason: str
 
 
 class Trimmed(NamedTuple):
-    """Retention has passed the wanted offset; `earliest` is the oldest."""
+    """The requested offset is past retention; `earliest` is the oldest."""
 
     earliest: int
 
 
 class RateLimited(NamedTuple):
-    """Too many appends; nothing was appended. Seconds until a retry."""
+    """Too many appends, nothing was appended; retry in `retry_after_s`."""
 
     retry_after_s: float
 
@@ -48,7 +48,7 @@
 
 
 class Refused(NamedTuple):
-    """The service will not take this request, now or later."""
+    """The service refuses this request, now and later."""
 
     status: int
 
@@ -64,7 +64,7 @@
 
 
 class Batch(NamedTuple):
-    """Records in the order of their offsets; read on from `next_offset`."""
+    """Records in the order of offsets; continue reading at `next_offset`."""
 
     records: tuple[LogRecord, ...]
     next_offset: int
@@ -78,10 +78,10 @@
 
 
 class Log(Protocol):
-    """What the tasks need of the log service."""
+    """The operations of the log service that the tasks use."""
 
     def append(self, stream: str, data: str) -> Result[int, LogError]:
-        """Append one record and give its offset."""
+        """Append one record and return its offset."""
 
     def read(
         self, stream: str, from_offset: int, max_records: int, wait_s: float
@@ -89,7 +89,7 @@
         """Read records; waits up to `wait_s` while there are none."""
 
     def extent(self, stream: str) -> Result[Extent, LogError]:
-        """Give the offsets that the stream covers."""
+        """Return the offsets that the stream covers."""
 
 
 class LogClient:
@@ -105,23 +105,24 @@
         self._timeout_s = timeout_s
 
     def append(self, stream: str, data: str) -> Result[int, LogError]:
-        """Append one record and give its offset.
+        """Append one record and return its offset.
 
-        `Unsure` where the record may be in the log although no reply came;
-        appending it again then needs a look for its id first.
+        Fails with `Unsure` if no reply was received although the record may
+        be in the log. Before it is appended again, the log must be searched
+        for its id.
         """
-        asked = http_json.request_json(
+        result = http_json.request_json(
             self._client, 'POST', _path(stream), data, self._timeout_s
         )
-        if isinstance(asked, Failure):
-            return Failure(_lost(asked.failure()))
-        reply = asked.unwrap()
-        offset = _member(reply, 'offset')
+        if isinstance(result, Failure):
+            return Failure(_transport_error(result.failure()))
+        reply = result.unwrap()
+        offset = _get_member(reply, 'offset')
         if reply.status == 200 and isinstance(offset, int):
             return Success(offset)
         if reply.status == 200 or 500 <= reply.status != 503:
             return Failure(Unsure(f'status {reply.status}'))
-        return Failure(_error_of(reply))
+        return Failure(_status_error(reply))
 
     def read(
         self, stream: str, from_offset: int, max_records: int, wait_s: float
@@ -130,34 +131,34 @@
         query = f'?from={from_offset}&max={max_records}'
         if wait_s > 0:
             query += f'&wait_ms={int(wait_s * 1000)}'
-        asked = http_json.request_json(
+        result = http_json.request_json(
             self._client,
             'GET',
             _path(stream) + query,
             '',
             self._timeout_s + wait_s,
         )
-        if isinstance(asked, Failure):
-            return Failure(Unavailable(asked.failure().reason))
-        reply = asked.unwrap()
+        if isinstance(result, Failure):
+            return Failure(Unavailable(result.failure().reason))
+        reply = result.unwrap()
         if reply.status != 200:
-            return Failure(_error_of(reply))
+            return Failure(_status_error(reply))
         return _parse_batch(reply.body)
 
     def extent(self, stream: str) -> Result[Extent, LogError]:
-        """Give the offsets that the stream covers."""
-        asked = http_json.request_json(
+        """Return the offsets that the stream covers."""
+        result = http_json.request_json(
             self._client,
             'GET',
             _path(stream) + '/earliest',
             '',
             self._timeout_s,
         )
-        if isinstance(asked, Failure):
-            return Failure(Unavailable(asked.failure().reason))
-        reply = asked.unwrap()
+        if isinstance(result, Failure):
+            return Failure(Unavailable(result.failure().reason))
+        reply = result.unwrap()
         if reply.status != 200:
-            return Failure(_error_of(reply))
+            return Failure(_status_error(reply))
         try:
             extent = Extent(
                 int(reply.body['earliest']), int(reply.body['next'])
@@ -167,7 +168,7 @@
         return Success(extent)
 
     def close(self) -> None:
-        """Close the connections that are kept."""
+        """Close all connections."""
         self._client.close()
 
 
@@ -175,15 +176,15 @@
     return f'/streams/{parse.quote(stream, safe="")}'
 
 
-def _lost(error: http_json.NotSent | http_json.NoReply) -> LogError:
+def _transport_error(error: http_json.NotSent | http_json.NoReply) -> LogError:
     if isinstance(error, http_json.NotSent):
         return Unavailable(error.reason)
     return Unsure(error.reason)
 
 
-def _error_of(reply: http_json.Reply) -> LogError:
+def _status_error(reply: http_json.Reply) -> LogError:
     if reply.status == 410:
-        earliest = _member(reply, 'earliest')
+        earliest = _get_member(reply, 'earliest')
         if isinstance(earliest, int):
             return Trimmed(earliest)
     if reply.status == 429:
@@ -193,7 +194,7 @@
     return Unavailable(f'status {reply.status}')
 
 
-def _member(reply: http_json.Reply, name: str) -> Any:
+def _get_member(reply: http_json.Reply, name: str) -> Any:
     return reply.body.get(name) if isinstance(reply.body, dict) else None
 
 
--- a/packages/burdockchute/burdockchute/platform/table_log.py
+++ b/packages/burdockchute/burdockchute/platform/table_log.py
@@ -1,8 +1,8 @@
-"""The table in the log: how a reader finds where to start.
+"""Loads the table from the log.
 
-A reader looks from the end of the stream backwards for the newest snapshot
-that it can go on from, so that its start costs the same however long the
-stream is.
+A reader searches backwards from the end of the stream for the newest usable
+snapshot, so that the cost of a start does not depend on the length of the
+stream.
 """
 
 from __future__ import annotations
@@ -28,15 +28,16 @@
 STREAM = reducer.STREAM
 MAX_RECORDS = 500
 
-# How often a start is tried anew because retention passed it meanwhile.
-MAX_TRIES = 3
+# Attempts to load, as retention may trim records while they are being read.
+MAX_LOAD_ATTEMPTS = 3
 
 
 class LoadedTable(NamedTuple):
     """The table at the end of the stream.
 
-    Read on from `next_offset`. `snapshot_as_of` is that of the newest
-    snapshot, -1 without; `edits` is how many records followed it.
+    Reading continues at `next_offset`. `snapshot_as_of` is the offset of the
+    table in the newest snapshot, -1 without one; `edits` is the number of
+    records after it.
     """
 
     table: Table
@@ -47,15 +48,15 @@
 
 
 class Lost(NamedTuple):
-    """Records were trimmed and no snapshot is left to start from."""
+    """Records were trimmed, and there is no snapshot to start from."""
 
     earliest: int
 
 
 def load(log: Log) -> Result[LoadedTable, LogError | Lost]:
-    """Read the table as it is at the end of the stream now."""
+    """Read the table as of the current end of the stream."""
     loaded: Result[LoadedTable, LogError | Lost] = Failure(Trimmed(0))
-    for _number in range(MAX_TRIES):
+    for _number in range(MAX_LOAD_ATTEMPTS):
         loaded = _load_once(log)
         if isinstance(loaded, Success):
             return loaded
@@ -65,7 +66,7 @@
 
 
 def snapshot_as_of(data: str) -> int:
-    """Give the offset of a snapshot's table, -1 for any other record."""
+    """Return the offset of a snapshot's table, -1 for any other record."""
     head = records.parse_header(data, '')
     if isinstance(head, Failure) or head.unwrap()['type'] != 'snapshot':
         return NO_OFFSET
@@ -91,44 +92,46 @@
 
 
 def reached_end(count: int) -> bool:
-    """Tell whether a batch of that many records reached the end."""
+    """Whether a batch of `count` records reached the end of the stream."""
     return count < MAX_RECORDS
 
 
 def _load_once(log: Log) -> Result[LoadedTable, LogError | Lost]:
-    asked = log.extent(STREAM)
-    if isinstance(asked, Failure):
-        return asked
-    extent = asked.unwrap()
-    held: list[LogRecord] = []
+    result = log.extent(STREAM)
+    if isinstance(result, Failure):
+        return result
+    extent = result.unwrap()
+    log_records: list[LogRecord] = []
     low = extent.next_offset
-    step = MAX_RECORDS
+    batch_size = MAX_RECORDS
     while True:
-        start = max(extent.earliest, low - step)
+        start = max(extent.earliest, low - batch_size)
         read = read_range(log, start, low)
         if isinstance(read, Failure):
             return read
-        held = read.unwrap() + held
+        log_records = read.unwrap() + log_records
         low = start
         snapshot = _newest_snapshot(read.unwrap(), extent)
         if snapshot is not None:
-            return _load_from(log, extent, held, snapshot)
+            return _load_from(log, extent, log_records, snapshot)
         if start <= extent.earliest:
             break
-        step *= 2
-    # A stream begins at offset 0, so nothing has been trimmed from one that
-    # is still kept from there.
+        batch_size *= 2
+    # A stream starts at offset 0, so nothing has been trimmed from one whose
+    # earliest offset is 0.
     if extent.earliest > 0:
         return Failure(Lost(extent.earliest))
-    return Success(_loaded(EMPTY_TABLE, held, extent, NO_OFFSET))
+    return Success(_replay(EMPTY_TABLE, log_records, extent, NO_OFFSET))
 
 
-def _newest_snapshot(held: list[LogRecord], extent: Extent) -> Table | None:
-    # A snapshot serves only if every record after its offset is kept. One
-    # whose writer was paused before it appended it may be older than that.
+def _newest_snapshot(
+    log_records: list[LogRecord], extent: Extent
+) -> Table | None:
+    # A snapshot is usable only if every record after its offset is still
+    # kept. If its writer was paused before appending it, some may be trimmed.
     candidates = [
         (as_of, record)
-        for record in held
+        for record in log_records
         if '"snapshot"' in record.data
         and (as_of := snapshot_as_of(record.data)) + 1 >= extent.earliest
         and as_of > NO_OFFSET
@@ -145,21 +148,21 @@
 
 
 def _load_from(
-    log: Log, extent: Extent, held: list[LogRecord], table: Table
+    log: Log, extent: Extent, log_records: list[LogRecord], table: Table
 ) -> Result[LoadedTable, LogError | Lost]:
-    first_held = held[0].offset
-    if table.offset + 1 < first_held:
-        read = read_range(log, table.offset + 1, first_held)
+    first_offset = log_records[0].offset
+    if table.offset + 1 < first_offset:
+        read = read_range(log, table.offset + 1, first_offset)
         if isinstance(read, Failure):
             return read
-        held = read.unwrap() + held
-    return Success(_loaded(table, held, extent, table.offset))
+        log_records = read.unwrap() + log_records
+    return Success(_replay(table, log_records, extent, table.offset))
 
 
-def _loaded(
-    table: Table, held: list[LogRecord], extent: Extent, as_of: int
+def _replay(
+    table: Table, log_records: list[LogRecord], extent: Extent, as_of: int
 ) -> LoadedTable:
-    after = [record for record in held if record.offset > table.offset]
+    after = [record for record in log_records if record.offset > table.offset]
     reduced = reducer.apply_all(table, after)
     next_offset = max(extent.next_offset, reduced.table.offset + 1)
     return LoadedTable(
--- a/packages/burdockchute/tests/test_http_json.py
+++ b/packages/burdockchute/tests/test_http_json.py
@@ -1,4 +1,4 @@
-"""Requests for JSON, and the library below them."""
+"""HTTP requests for JSON."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 class HttpJsonTest(unittest.TestCase):
     def test_a_call_whose_connection_breaks_is_made_once(self):
-        """A store resets every connection for seconds.
+        """A store resets every connection for several seconds.
 
-        The library below repeats a call by itself. Each process would make
-        four calls where it means one, on a store that is in trouble already,
-        and its operators pay for each.
+        The HTTP library retries by itself. Each process would make four calls
+        instead of one, to a store that is already failing and whose operators
+        pay for each call.
         """
         connections = []
 
--- a/packages/burdockchute/tests/test_log_client.py
+++ b/packages/burdockchute/tests/test_log_client.py
@@ -1,4 +1,4 @@
-"""The client of the log service against a small server."""
+"""The clients of the log service and instance list, against a server."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 class LogClientTest(unittest.TestCase):
     def serve(self, status: str, body: object, *headers: tuple) -> str:
         def answer(environ, start_response):
-            self.asked.append(
+            self.received_requests.append(
                 (
                     environ['REQUEST_METHOD'],
                     environ['PATH_INFO'],
@@ -27,7 +27,7 @@
             start_response(status, list(headers))
             return [json.dumps(body).encode()]
 
-        self.asked: list[tuple] = []
+        self.received_requests: list[tuple] = []
         serving = pywsgi.WSGIServer(('127.0.0.1', 0), answer, log=None)
         serving.start()
         self.addCleanup(serving.stop)
@@ -41,7 +41,9 @@
     def test_append(self):
         client = self.client(self.serve('200 OK', {'offset': 17}))
         self.assertEqual(17, client.append('table', 'ä').unwrap())
-        self.assertEqual([('POST', '/streams/table', '', 'ä')], self.asked)
+        self.assertEqual(
+            [('POST', '/streams/table', '', 'ä')], self.received_requests
+        )
 
     def test_read(self):
         body = {'records': [{'offset': 4, 'data': 'x'}], 'next': 5}
@@ -52,7 +54,7 @@
         )
         self.assertEqual(
             [('GET', '/streams/table', 'from=3&max=10&wait_ms=1500', '')],
-            self.asked,
+            self.received_requests,
         )
 
     def test_extent(self):
@@ -114,9 +116,9 @@
         self.assertIsInstance(error, log.Unavailable)
 
     def test_append_whose_reply_is_lost_is_unsure(self):
-        # The service takes the record and the connection breaks, or goes
-        # silent, before the reply. A writer that took it for not appended
-        # would append it twice.
+        # The service accepts the record, and the connection breaks or goes
+        # silent before the reply. If the record were reported as not
+        # appended, its writer would append it twice.
         def broken(sock, _address):
             sock.recv(1000)
 
@@ -133,8 +135,8 @@
                 self.assertIsInstance(error, log.Unsure)
 
     def test_silent_connection_does_not_hold_the_next_request(self):
-        # A connection that has gone silent stays so for good while new ones
-        # work. The next request must not wait for it or go over it.
+        # A connection goes silent for good while new ones work. The next
+        # request must neither wait for it nor use it.
         accepted = []
 
         def first_is_silent(sock, _address):
--- a/packages/burdockchute/tests/test_snapshots.py
+++ b/packages/burdockchute/tests/test_snapshots.py
@@ -18,9 +18,9 @@
 
 class DecisionTest(unittest.TestCase):
     def play(self, entries: int, hours: float) -> tuple[int, float]:
-        """Give how many snapshots entries write and the longest gap.
+        """Return the number of snapshots and the longest time between two.
 
-        Each entry reads another's snapshot a tenth of a second later.
+        Each entry reads a snapshot of another after 0.1 s.
         """
         rng = random.Random(1)
         states = [
@@ -45,7 +45,7 @@
         return written, gap
 
     def test_few_write_and_never_too_late(self):
-        # All 360 entries restart at once, then run for two days.
+        # With up to 360 entries that restart at once and run for two days.
         for entries in (1, 3, 360):
             written, gap = self.play(entries, 48)
             with self.subTest(entries):
@@ -80,9 +80,9 @@
         self.assertTrue(snapshots.is_due(state, 9, 6.1))
 
     def test_older_snapshot_does_not_count(self):
-        # An entry was paused between making a snapshot and appending it.
-        # Would it count as the newest, the one that readers need could
-        # expire before the next was written.
+        # An entry was paused between making a snapshot and appending it. If
+        # it counted as the newest, the one that readers need could expire
+        # before the next is written.
         rng = random.Random(1)
         state = snapshots.initial_state(50, 0, 0.0, RETENTION_S, rng)
         self.assertEqual(
@@ -132,8 +132,8 @@
         self.assertEqual((1299, 704), (loaded.snapshot_as_of, loaded.edits))
 
     def test_two_snapshots_at_once_agree(self):
-        # Two entries find a snapshot due in the same moment and both write
-        # it, one of them after a further edit.
+        # Two entries find a snapshot due at the same time and both write it,
+        # one of them after a further edit.
         self.edit(10)
         one = tables.snapshot(self.table)
         self.edit(1)
@@ -146,8 +146,8 @@
         self.assertEqual(self.table, table_log.load(self.log).unwrap().table)
 
     def test_snapshot_of_a_paused_writer_is_passed_over(self):
-        # It was made before records that retention has passed since, so a
-        # reader that went on from it would lack their rows.
+        # Records after it have been trimmed since it was made, so a reader
+        # that started from it would lack their rows.
         self.edit(5)
         old = tables.snapshot(self.table)
         self.edit(20)
@@ -158,8 +158,8 @@
         self.assertEqual(self.table, table_log.load(self.log).unwrap().table)
 
     def test_snapshot_that_was_appended_long_after_it_was_made(self):
-        # The writer was paused, but retention is still far: what follows
-        # its offset lies outside of what the reader has looked at.
+        # The writer was paused, but no record has been trimmed. The records
+        # after its offset start before the range that the reader has read.
         self.edit(5)
         old = tables.snapshot(self.table)
         self.edit(600)
@@ -178,9 +178,8 @@
         self.assertEqual(self.table.rows, loaded.table.rows)
 
     def test_everything_needed_is_gone(self):
-        # No entry could write a snapshot for as long as the log keeps
-        # records. To go on with what is left would be to serve a table that
-        # lacks rows.
+        # No entry could write a snapshot within the retention of the log. A
+        # table from the remaining records would lack rows.
         self.edit(5)
         self.log.trim('table', 3)
         self.assertEqual(table_log.Lost(3), table_log.load(self.log).failure())
