--- a/packages/burdockchute/burdockchute/operators/manifests.py
+++ b/packages/burdockchute/burdockchute/operators/manifests.py
@@ -61,9 +61,11 @@
         raise ValueError(
             f'{len(chunks)} chunks are not from 1 to {manifests.MAX_CHUNKS}'
         )
-    bare = Manifest('', name, path.stat().st_size, chunk_bytes, chunks)
-    digest = manifests.digest_of(manifests.canonical(bare))
-    return bare._replace(digest=digest)
+    without_digest = Manifest(
+        '', name, path.stat().st_size, chunk_bytes, chunks
+    )
+    digest = manifests.digest_of(manifests.canonical(without_digest))
+    return without_digest._replace(digest=digest)
 
 
 def _parse_chunk_bytes(text: str) -> int:
--- a/packages/burdockchute/burdockchute/weights/__init__.py
+++ b/packages/burdockchute/burdockchute/weights/__init__.py
@@ -1,3 +1,3 @@
-"""Manifests, copies and their spread between agents."""
+"""Manifests and copies of weights, and the client of the weight store."""
 
 from __future__ import annotations
--- a/packages/burdockchute/burdockchute/weights/copies.py
+++ b/packages/burdockchute/burdockchute/weights/copies.py
@@ -1,9 +1,9 @@
-"""A copy of one set of weights in memory, whole or still growing.
+"""An in-memory copy of one set of weights, complete or partial.
 
-Only chunks that match the manifest get in, so whatever a copy gives out is
-verified. Nothing is written to disk. `release` frees the memory at once and
-makes the copy refuse more, since a late chunk of an abandoned copy must not
-bring it back.
+Only chunks that match the manifest are added, so everything read from a copy
+is verified. Nothing is written to disk. `release` frees the memory at once
+and makes the copy refuse further chunks, since a late chunk must not allocate
+memory again for a copy that is no longer needed.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
         self._released = False
 
     def add(self, index: int, data: bytes) -> bool:
-        """Take a chunk if it is the right one; False if it is not."""
+        """Add a chunk; False if it does not match or the copy is released."""
         if self._released:
             return False
         if not manifests.check_chunk(self.manifest, index, data):
@@ -37,13 +37,13 @@
         return True
 
     def chunk(self, index: int) -> bytes | None:
-        """Give a chunk, or None if it is not held."""
+        """Return a chunk, or None if it is not held."""
         if not 0 <= index < len(self._chunks):
             return None
         return self._chunks[index]
 
     def has_chunk(self, index: int) -> bool:
-        """Tell whether a chunk is held."""
+        """Whether a chunk is held."""
         return self.chunk(index) is not None
 
     @property
@@ -56,21 +56,21 @@
         )
 
     def bitmap(self) -> bytes:
-        """Give one bit for each chunk, bit 0 of byte 0 first."""
+        """Return one bit for each chunk, starting with bit 0 of byte 0."""
         return pack_bitmap([chunk is not None for chunk in self._chunks])
 
     def release(self) -> None:
-        """Free the memory; the copy takes and gives nothing after."""
+        """Free the memory; the copy then accepts and returns no chunks."""
         self._released = True
         self._chunks = [None] * len(self._chunks)
         self.held_bytes = 0
         self.held_count = 0
 
     def content(self) -> Iterator[bytes]:
-        """Give all chunks in order; raises ValueError if it isn't whole.
+        """Return all chunks in order; raises ValueError if incomplete.
 
-        The chunks are taken at the start, so that a reader of a copy that is
-        released meanwhile still gets the whole content.
+        The iterator has its own list of the chunks, so a reader still gets
+        the complete content if the copy is released meanwhile.
         """
         if not self.complete:
             raise ValueError(f'copy of {self.manifest.digest!r} is not whole')
@@ -78,7 +78,7 @@
 
 
 def pack_bitmap(bits: list[bool]) -> bytes:
-    """Give the bytes of a bitmap.
+    """Return the bytes of a bitmap.
 
     >>> pack_bitmap([True, False, True])
     b'\\x05'
@@ -91,7 +91,7 @@
 
 
 def unpack_bitmap(bitmap: bytes, count: int) -> frozenset[int]:
-    """Give the indices below `count` whose bit is set."""
+    """Return the indices below `count` whose bit is set."""
     return frozenset(
         index
         for index in range(min(count, 8 * len(bitmap)))
--- a/packages/burdockchute/burdockchute/weights/manifest.py
+++ b/packages/burdockchute/burdockchute/weights/manifest.py
@@ -1,8 +1,8 @@
-"""Manifests: which chunks make up one set of weights.
+"""Manifests, which list the chunks of one set of weights.
 
 A row of the table names a root digest. The root digest is the blake3 digest
 of the manifest, and the manifest has the blake3 digest of every chunk, so
-whoever knows the root digest can check each byte, whoever sent it.
+with the root digest every byte can be verified, whatever its source.
 
 >>> manifest = build('story', b'abcdef', chunk_size=4)
 >>> [chunk_range(manifest, index) for index in range(2)]
@@ -26,8 +26,8 @@
 from burdockchute.model.findings import Finding
 from burdockchute.model.findings import not_one_of
 
-# A manifest that names more chunks than this would not fit a bitmap of one
-# small message; 65536 chunks of 8 MiB make 512 GiB.
+# The bitmap of more chunks would not fit into one small message; 65536 chunks
+# of 8 MiB are 512 GiB.
 MAX_CHUNKS = 65536
 MAX_CHUNK_BYTES = 8 * 1024 * 1024
 
@@ -39,9 +39,9 @@
 class Manifest(NamedTuple):
     """One set of weights: sizes in bytes, digests in lower-case hex.
 
-    `hash` makes the digests of the chunks. Where it is not blake3 the
-    manifest comes from a platform of its own ways, and `digest` is only the
-    name under which processes of this system know the copy.
+    `hash` is the algorithm of the chunks' digests. If it is not blake3, the
+    manifest comes from a platform with its own format, and `digest` is only
+    the name of the copy within this system.
     """
 
     digest: str
@@ -53,17 +53,17 @@
 
 
 def build(name: str, content: bytes, chunk_size: int) -> Manifest:
-    """Make the manifest of a content."""
+    """Build the manifest of some content."""
     chunks = tuple(
         digest_of(content[start : start + chunk_size])
         for start in range(0, len(content), chunk_size)
     )
-    bare = Manifest('', name, len(content), chunk_size, chunks)
-    return bare._replace(digest=digest_of(canonical(bare)))
+    without_digest = Manifest('', name, len(content), chunk_size, chunks)
+    return without_digest._replace(digest=digest_of(canonical(without_digest)))
 
 
 def canonical(manifest: Manifest) -> bytes:
-    """Give the bytes that the root digest is taken of."""
+    """Return the canonical bytes, of which the root digest is computed."""
     document = {
         'name': manifest.name,
         'size': manifest.size,
@@ -77,7 +77,7 @@
 
 
 def serialize_manifest(manifest: Manifest) -> bytes:
-    """Give the manifest as the weight store does, with its digest."""
+    """Return the manifest as served by the weight store, with its digest."""
     document = json.loads(canonical(manifest))
     document['digest'] = manifest.digest
     if manifest.hash != BLAKE3:
@@ -86,10 +86,10 @@
 
 
 def parse(data: bytes, digest: str) -> Result[Manifest, list[Finding]]:
-    """Read a manifest and check it against the root digest of the row."""
+    """Parse a manifest and verify it against the root digest of a row."""
     place = f'manifest {digest}'
     try:
-        manifest = _from_document(json.loads(data), digest)
+        manifest = _parse_document(json.loads(data), digest)
     except (ValueError, KeyError, TypeError) as exc:
         return Failure([Finding(place, f'is no manifest: {exc!r}')])
     found = _check_shape(manifest, place)
@@ -102,15 +102,15 @@
 def parse_unverified(
     data: bytes, digest: str
 ) -> Result[Manifest, list[Finding]]:
-    """Read a manifest from a peer that no root digest vouches for.
+    """Parse a manifest from a peer that no root digest verifies.
 
-    A peer has it from the origin, as this process would. What its digests
-    say is checked by the chunks, which have to match them.
+    The peer read it from the origin, as this process would have. Its digests
+    are only checked against the chunks, which must match them.
     """
     place = f'manifest {digest}'
     try:
         document = json.loads(data)
-        manifest = _from_document(document, digest)._replace(
+        manifest = _parse_document(document, digest)._replace(
             hash=str(document['hash'])
         )
     except (ValueError, KeyError, TypeError) as exc:
@@ -124,26 +124,26 @@
 
 
 def chunk_range(manifest: Manifest, index: int) -> tuple[int, int]:
-    """Give first byte and the byte after the last of a chunk."""
+    """Return the first byte of a chunk and the byte after its last."""
     start = index * manifest.chunk_size
     return start, min(start + manifest.chunk_size, manifest.size)
 
 
 def chunk_bytes(manifest: Manifest, index: int) -> int:
-    """Give the size of a chunk in bytes."""
+    """Return the size of a chunk in bytes."""
     start, end = chunk_range(manifest, index)
     return end - start
 
 
 def check_chunk(manifest: Manifest, index: int, data: bytes) -> bool:
-    """Tell whether the bytes are that chunk, whole and unchanged."""
+    """Whether the bytes are that chunk, complete and unchanged."""
     if not 0 <= index < len(manifest.chunks):
         return False
     return _HASHES[manifest.hash](data) == manifest.chunks[index]
 
 
 def digest_of(data: bytes) -> str:
-    """Give the blake3 digest in hex."""
+    """Return the blake3 digest in hex."""
     return blake3.blake3(data).hexdigest()
 
 
@@ -154,7 +154,7 @@
 _HASHES = {BLAKE3: digest_of, SHA256: _sha256}
 
 
-def _from_document(document: Any, digest: str) -> Manifest:
+def _parse_document(document: Any, digest: str) -> Manifest:
     return Manifest(
         digest=digest,
         name=str(document['name']),
@@ -170,8 +170,8 @@
         text = f'chunk_size {manifest.chunk_size!r} is not in 1 to '
         found.append(Finding(place, text + f'{MAX_CHUNK_BYTES}'))
         return found
-    wanted = -(-manifest.size // manifest.chunk_size)
-    if manifest.size <= 0 or len(manifest.chunks) != wanted:
+    expected_chunks = -(-manifest.size // manifest.chunk_size)
+    if manifest.size <= 0 or len(manifest.chunks) != expected_chunks:
         text = f'{len(manifest.chunks)!r} chunks for {manifest.size!r} bytes'
         found.append(Finding(place, text))
     if len(manifest.chunks) > MAX_CHUNKS:
--- a/packages/burdockchute/burdockchute/weights/origin.py
+++ b/packages/burdockchute/burdockchute/weights/origin.py
@@ -1,8 +1,7 @@
 """Client of the weight store.
 
-Each call gives a Result and never raises for what the store or the network
-does. What it gives is not verified beyond its length; the reader compares
-digests.
+Each call returns a Result and raises no errors of the store or the network.
+Of a chunk only the length is checked; its digest is compared by the reader.
 """
 
 from __future__ import annotations
@@ -21,9 +20,9 @@
 from burdockchute.weights.manifest import Manifest
 
 CONNECT_TIMEOUT_S = 2.0
-# The store is rate limited, so a sound read may wait behind many others; a
-# read that brings no byte for this long is lost. Meanwhile the next reader in
-# order takes over, so nobody waits for it.
+# The store is rate limited, so a healthy read may wait behind many others; a
+# read that receives no byte for this long has failed. By then the next reader
+# in order has taken over the chunk, so nothing waits for this timeout.
 READ_TIMEOUT_S = 20.0
 
 
@@ -35,7 +34,7 @@
 
 
 class Origin:
-    """Connections to one weight store; made for one task at a time."""
+    """Connections to one weight store, for use by one task at a time."""
 
     def __init__(self, url: str, connections: int = 4) -> None:
         parts = parse.urlsplit(url)
@@ -50,17 +49,17 @@
         )
 
     def manifest(self, digest: str) -> Result[Manifest, OriginError]:
-        """Read a manifest and check it against its digest."""
+        """Read a manifest and verify it against its digest."""
         reply = self._get(f'/manifests/{digest}', {}, 200)
         if isinstance(reply, Failure):
             return reply
         parsed = manifests.parse(reply.unwrap(), digest)
-        return parsed.alt(_not_a_manifest)
+        return parsed.alt(_invalid_manifest)
 
     def chunk(
         self, manifest: Manifest, index: int
     ) -> Result[bytes, OriginError]:
-        """Read one chunk; its length is right, its digest not yet checked."""
+        """Read one chunk; its length is checked, its digest is not."""
         start, end = manifests.chunk_range(manifest, index)
         headers = {'Range': f'bytes={start}-{end - 1}'}
         reply = self._get(f'/blobs/{manifest.digest}', headers, 206)
@@ -77,21 +76,21 @@
         self._client.close()
 
     def _get(
-        self, path: str, headers: dict[str, str], wanted: int
+        self, path: str, headers: dict[str, str], expected_status: int
     ) -> Result[bytes, OriginError]:
         try:
             resp = self._client.get(self._prefix + path, headers=headers)
             data = bytes(resp.read())
         except Exception as exc:
             # The client raises errors of several unrelated types when a
-            # reply breaks off; all mean the same here.
+            # reply is cut off; all mean the same here.
             return Failure(OriginError(f'{type(exc).__name__}: {exc}'))
         self.bytes_read += len(data)
-        if resp.status_code != wanted:
+        if resp.status_code != expected_status:
             text = f'status {resp.status_code!r} for {path}'
             return Failure(OriginError(text, resp.status_code))
         return Success(data)
 
 
-def _not_a_manifest(found: list[Finding]) -> OriginError:
+def _invalid_manifest(found: list[Finding]) -> OriginError:
     return OriginError(render_all(found), 200)
--- a/packages/burdockchute/tests/weights/test_manifest.py
+++ b/packages/burdockchute/tests/weights/test_manifest.py
@@ -1,4 +1,4 @@
-"""Manifests and the copies that they check."""
+"""Manifests, and copies verified against them."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
         )
 
     def test_changed_manifest_is_refused(self):
-        # The store gives a manifest that names other chunks. The agent
-        # would take these for the weights that the row names.
+        # The store returns a manifest with other chunks. The agent would take
+        # them for the weights of the row.
         document = json.loads(manifests.serialize_manifest(MANIFEST))
         document['chunks'][0] = manifests.digest_of(b'other')
         found = manifests.parse(
@@ -64,7 +64,8 @@
         self.assertEqual(CONTENT, b''.join(self.copy.content()))
 
     def test_corrupt_chunk_is_not_taken(self):
-        # A bit flips on the way. The copy must neither count nor serve it.
+        # A bit flips in transit. The copy must neither count nor serve the
+        # chunk.
         self.assertFalse(self.copy.add(0, b'\x00\x01\x02\x07'))
         self.assertFalse(self.copy.add(7, b''))
         self.assertEqual((0, 0), (self.copy.held_count, self.copy.held_bytes))
@@ -75,8 +76,8 @@
             self.copy.content()
 
     def test_released_copy_stays_empty(self):
-        # A version is given up while one of its chunks is on its way. Were
-        # it taken, the memory would never be freed.
+        # A version is cancelled while one of its chunks is in transit. If the
+        # chunk were added, its memory would never be freed.
         self.copy.add(0, CONTENT[:4])
         self.copy.release()
         self.assertFalse(self.copy.add(1, CONTENT[4:8]))
