--- a/packages/burdockchute/burdockchute/operators/__init__.py
+++ b/packages/burdockchute/burdockchute/operators/__init__.py
@@ -1,3 +1,3 @@
-"""What operators see: the table's commands and reports."""
+"""Commands for operators: editing the table, keys and reports."""
 
 from __future__ import annotations
--- a/packages/burdockchute/burdockchute/operators/burn.py
+++ b/packages/burdockchute/burdockchute/operators/burn.py
@@ -1,8 +1,8 @@
-"""The report on service-level burn: text for a terminal, and a plot.
+"""The report on burn rates of objectives, as text and as a plot.
 
-Each entry counts since it started; the report adds up the entries it is
-given. Instances keep nothing, so a window reaches back no further than the
-start of the entries, which the report says.
+Each entry counts from its start, and the report adds up the given entries.
+Instances store nothing, so a window reaches back no further than the start of
+the entries, which the report states.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class PageEntry(TypedDict):
-    """Events of one key, as an entry's /burn page gives them."""
+    """Event counts of one key on the /burn page of an entry."""
 
     objective: str
     customer: str
@@ -36,8 +36,8 @@
     windows: dict[str, tuple[int, int]]
 
 
-class Line(NamedTuple):
-    """One line of the report."""
+class ReportLine(NamedTuple):
+    """One line of the report, with the sum of events for each window."""
 
     key: burn.Key
     target: float
@@ -69,7 +69,7 @@
 
 
 def run(args: argparse.Namespace, environ: Mapping[str, str]) -> int:
-    """Print the report; 1 if an entry gave no answer."""
+    """Print the report; returns 1 if an entry did not answer."""
     urls = commands.read_or_exit([ENTRIES], args, environ)['admin_urls']
     pages = []
     for url in urls:
@@ -88,7 +88,7 @@
 def burn_page(
     counts: burn.Counts, now: float, targets: Mapping[burn.Key, float]
 ) -> list[PageEntry]:
-    """Give what one entry counted, for its /burn page."""
+    """Return the counts of one entry, for its /burn page."""
     return [
         PageEntry(
             objective=key.objective,
@@ -97,7 +97,7 @@
             indicator=key.indicator,
             target=targets[key],
             windows={
-                str(window): _pair(counts.sum(now, key, window))
+                str(window): _as_pair(counts.sum(now, key, window))
                 for window in burn.windows()
             },
         )
@@ -106,9 +106,9 @@
     ]
 
 
-def merge(pages: list[list[PageEntry]]) -> list[Line]:
+def merge(pages: list[list[PageEntry]]) -> list[ReportLine]:
     """Add up the pages of several entries."""
-    lines: dict[burn.Key, Line] = {}
+    lines: dict[burn.Key, ReportLine] = {}
     for item in (item for page in pages for item in page):
         key = burn.Key(
             item['objective'],
@@ -117,21 +117,23 @@
             item['indicator'],
         )
         empty = {window: burn.Sum(0, 0) for window in burn.windows()}
-        held = lines.get(key, Line(key, item['target'], empty))
+        previous = lines.get(key, ReportLine(key, item['target'], empty))
         sums = {
-            window: _plus(held.sums[window], item['windows'][str(window)])
+            window: _add_counts(
+                previous.sums[window], item['windows'][str(window)]
+            )
             for window in burn.windows()
         }
-        lines[key] = Line(key, item['target'], sums)
+        lines[key] = ReportLine(key, item['target'], sums)
     return [lines[key] for key in sorted(lines)]
 
 
-def render(lines: list[Line], answered: int, asked: int) -> str:
-    """Give the report as text."""
-    head = ['objective', 'customer', 'model', 'indicator', 'target']
-    head += [_name(window) for window in burn.windows()] + ['alert']
-    rows = [head, *(_cells(line) for line in lines)]
-    widths = [max(len(row[i]) for row in rows) for i in range(len(head))]
+def render(lines: list[ReportLine], answered: int, asked: int) -> str:
+    """Return the report as text."""
+    header = ['objective', 'customer', 'model', 'indicator', 'target']
+    header += [_window_label(window) for window in burn.windows()] + ['alert']
+    rows = [header, *(_cells(line) for line in lines)]
+    widths = [max(len(row[i]) for row in rows) for i in range(len(header))]
     text = [
         '  '.join(
             cell.ljust(width) for cell, width in zip(row, widths, strict=True)
@@ -145,8 +147,8 @@
     return '\n'.join(text)
 
 
-def plot(lines: list[Line], path: str) -> None:
-    """Draw the burn rate of each line over the windows."""
+def plot(lines: list[ReportLine], path: str) -> None:
+    """Plot the burn rate of each line over the windows."""
     import matplotlib
 
     matplotlib.use('Agg')
@@ -159,7 +161,7 @@
         label = '/'.join(line.key)
         axes.plot(range(len(windows)), rates, marker='o', label=label)
     axes.axhline(1.0, color='grey', linestyle='--', linewidth=1)
-    axes.set_xticks(range(len(windows)), [_name(w) for w in windows])
+    axes.set_xticks(range(len(windows)), [_window_label(w) for w in windows])
     axes.set_xlabel('window')
     axes.set_ylabel('burn rate (1.0 uses up what is allowed)')
     axes.set_yscale('symlog', linthresh=1.0)
@@ -170,7 +172,7 @@
     pyplot.close(figure)
 
 
-def _cells(line: Line) -> list[str]:
+def _cells(line: ReportLine) -> list[str]:
     rates = [
         f'{burn.burn_rate(line.sums[window], line.target):.2f}'
         if line.sums[window].total
@@ -181,17 +183,17 @@
     return [*line.key, f'{line.target:g}', *rates, alert]
 
 
-def _name(window_s: float) -> str:
+def _window_label(window_s: float) -> str:
     if window_s < burn.HOUR_S:
         return f'{window_s / burn.MINUTE_S:.0f}m'
     return f'{window_s / burn.HOUR_S:.0f}h'
 
 
-def _plus(held: burn.Sum, more: Any) -> burn.Sum:
-    return burn.Sum(held.total + more[0], held.bad + more[1])
+def _add_counts(previous: burn.Sum, more: Any) -> burn.Sum:
+    return burn.Sum(previous.total + more[0], previous.bad + more[1])
 
 
-def _pair(events: burn.Sum) -> tuple[int, int]:
+def _as_pair(events: burn.Sum) -> tuple[int, int]:
     return events.total, events.bad
 
 
--- a/packages/burdockchute/burdockchute/operators/explain.py
+++ b/packages/burdockchute/burdockchute/operators/explain.py
@@ -1,8 +1,9 @@
-"""`burdockchute-entry explain`: what happened to one request, from logs.
+"""`burdockchute-entry explain`: the timeline of one request, from logs.
 
-Reads the log lines of any number of processes and prints, in the order of
-time, every line about a request and what the processes that had it in hand
-learnt of the upstreams it was placed on, shortly before and meanwhile.
+Reads the log lines of any number of processes and prints, ordered by time,
+every line about the request, and the events of the processes that handled it
+about themselves and the upstreams on which it was placed, from shortly before
+the request until shortly after its end.
 """
 
 from __future__ import annotations
@@ -17,12 +18,12 @@
 
 EXIT_NOT_FOUND = 1
 
-# What a process learnt so long before a request may have decided about it.
-BEFORE_S = 5.0
-AFTER_S = 1.0
+# Events from this long before a request may have affected it.
+CONTEXT_BEFORE_S = 5.0
+CONTEXT_AFTER_S = 1.0
 
-# Events about the process as a whole that bear on any request.
-_ABOUT_ALL = frozenset(
+# Events about the process as a whole, which are relevant to any request.
+_PROCESS_EVENTS = frozenset(
     {
         'configuration_learnt',
         'dependency_lost',
@@ -37,8 +38,8 @@
     }
 )
 
-# The last line about a request at a process.
-_ENDS = frozenset({'request_finished', 'request_turned_away'})
+# Events that are the last one about a request at a process.
+_FINAL_EVENTS = frozenset({'request_finished', 'request_turned_away'})
 
 
 def add_parser(subparsers: argparse._SubParsersAction) -> None:
@@ -53,68 +54,75 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Print the timeline; 1 if no line names the request."""
+    """Print the timeline; returns 1 if no line names the request."""
     found = explain(args.request_id, read_lines(args.files))
     if not found:
         print(f'no line names {args.request_id!r}', file=sys.stderr)
         return EXIT_NOT_FOUND
-    began = found[0].at
+    started_at = found[0].at
     for line in found:
-        print(render(line, began))
+        print(render(line, started_at))
     return 0
 
 
-def explain(request_id: str, texts: Iterable[str]) -> list[Line]:
-    """Give the lines that bear on a request, in the order of time."""
-    lines = [parse_line(text) for text in texts if 'event=' in text]
-    own = [n for n in lines if n.fields.get('request_id') == request_id]
-    if not own:
+def explain(request_id: str, raw_lines: Iterable[str]) -> list[Line]:
+    """Return the lines that are relevant to a request, ordered by time."""
+    lines = [parse_line(text) for text in raw_lines if 'event=' in text]
+    request_lines = [
+        n for n in lines if n.fields.get('request_id') == request_id
+    ]
+    if not request_lines:
         return []
-    upstreams = {n.fields['upstream'] for n in own if n.fields.get('upstream')}
-    procs = {n.fields.get('proc') for n in own}
-    first = min(n.at for n in own) - BEFORE_S
-    last = max(n.at for n in own) + AFTER_S
+    upstreams = {
+        n.fields['upstream'] for n in request_lines if n.fields.get('upstream')
+    }
+    processes = {n.fields.get('proc') for n in request_lines}
+    first = min(n.at for n in request_lines) - CONTEXT_BEFORE_S
+    last = max(n.at for n in request_lines) + CONTEXT_AFTER_S
 
-    def bears(line: Line) -> bool:
+    def is_relevant(line: Line) -> bool:
         fields = line.fields
         if 'request_id' in fields:
             return fields['request_id'] == request_id
-        if fields.get('proc') not in procs or not first <= line.at <= last:
+        if fields.get('proc') not in processes or not first <= line.at <= last:
             return False
-        if fields.get('event') in _ABOUT_ALL:
+        if fields.get('event') in _PROCESS_EVENTS:
             return True
         return fields.get('upstream') in upstreams
 
-    found = [*filter(bears, lines), *_starts_after(own, lines, last)]
+    found = [
+        *filter(is_relevant, lines),
+        *_find_restarts(request_lines, lines, last),
+    ]
     return sorted(found, key=lambda line: line.at)
 
 
-def _starts_after(
-    own: list[Line], lines: list[Line], last: float
+def _find_restarts(
+    request_lines: list[Line], lines: list[Line], last: float
 ) -> list[Line]:
-    """Give when processes that had an unfinished request started again.
+    """Return the next start of each process that had the unfinished request.
 
-    One that is killed or loses power writes nothing of its end.
+    A process that is killed or loses power logs nothing about its end.
     """
-    if any(n.fields.get('event') in _ENDS for n in own):
+    if any(n.fields.get('event') in _FINAL_EVENTS for n in request_lines):
         return []
     starts: dict[str, Line] = {}
-    procs = {n.fields.get('proc') for n in own}
+    processes = {n.fields.get('proc') for n in request_lines}
     for line in sorted(lines, key=lambda line: line.at):
         name = line.fields.get('proc', '')
-        begins = line.fields.get('event') == 'serving' and line.at > last
-        if begins and name in procs:
+        is_start = line.fields.get('event') == 'serving' and line.at > last
+        if is_start and name in processes:
             starts.setdefault(name, line)
     return list(starts.values())
 
 
-def render(line: Line, began: float) -> str:
-    """Give one line of the timeline; times are seconds from its first."""
+def render(line: Line, started_at: float) -> str:
+    """Return one line of the timeline; times are seconds from its first."""
     fields = line.fields
-    rest = ' '.join(
+    pairs = ' '.join(
         f'{name}={value}'
         for name, value in fields.items()
         if name not in ('at', 'level', 'event', 'proc', 'request_id') and value
     )
-    head = f'{line.at - began:+8.3f} {fields.get("proc", "?"):<18}'
-    return f'{head} {fields.get("event", "?"):<26} {rest}'
+    prefix = f'{line.at - started_at:+8.3f} {fields.get("proc", "?"):<18}'
+    return f'{prefix} {fields.get("event", "?"):<26} {pairs}'
--- a/packages/burdockchute/burdockchute/operators/keys.py
+++ b/packages/burdockchute/burdockchute/operators/keys.py
@@ -1,4 +1,4 @@
-"""Bearer keys of customers: made here, known to the table by digest only."""
+"""Generates bearer keys of customers; the table has only their digests."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from burdockchute import settings as base
 from burdockchute.callers import auth
 
-# 256 bits; a key that nobody can guess needs no slow digest.
+# 256 bits; a key that can't be guessed needs no slow digest.
 KEY_BYTES = 32
 
 
@@ -22,13 +22,15 @@
         description='The table holds digests of keys in the column '
         'key_digests. Hand the key itself to the customer.',
     )
-    acts = parser.add_subparsers(dest='act', required=True)
-    acts.add_parser('new', help='make a key; print it and its digest')
-    acts.add_parser('digest', help='digest of the key on standard input')
+    subcommands = parser.add_subparsers(dest='act', required=True)
+    subcommands.add_parser('new', help='make a key; print it and its digest')
+    subcommands.add_parser(
+        'digest', help='digest of the key on standard input'
+    )
 
 
 def run(args: argparse.Namespace) -> int:
-    """Print what was asked for."""
+    """Print a new key with its digest, or the digest of a given key."""
     if args.act == 'new':
         key = secrets.token_urlsafe(KEY_BYTES)
         print(f'key={key}')
--- a/packages/burdockchute/burdockchute/operators/log_lines.py
+++ b/packages/burdockchute/burdockchute/operators/log_lines.py
@@ -1,4 +1,4 @@
-"""Log lines, as the reports that are made of logs read them.
+"""Parses log lines for the reports that are computed from logs.
 
 >>> line = 'at="2026-01-02 03:04:05,006" event=x request_id=q proc=e'
 >>> parse_line(line).fields['event']
@@ -17,7 +17,7 @@
 
 
 class Line(NamedTuple):
-    """One log line; `at` is in Unix seconds, 0 where it isn't said."""
+    """One log line; `at` is in Unix seconds, 0 if the line has no time."""
 
     at: float
     fields: dict[str, str]
@@ -25,13 +25,13 @@
 
 
 def parse_line(text: str) -> Line:
-    """Read a line, with anything before its first pair ignored."""
-    fields = {name: _unquoted(value) for name, value in _PAIR.findall(text)}
-    return Line(_time(fields.get('at', '')), fields, text)
+    """Parse a line; anything before its first pair is ignored."""
+    fields = {name: _unquote(value) for name, value in _PAIR.findall(text)}
+    return Line(_parse_time(fields.get('at', '')), fields, text)
 
 
 def read_lines(files: Iterable[str]) -> list[str]:
-    """Give the lines of files, those of standard input without any."""
+    """Return the lines of files, or of standard input if there are none."""
     texts: list[str] = []
     for name in files:
         with open(name, encoding='utf-8', errors='replace') as file:
@@ -39,11 +39,11 @@
     return texts or sys.stdin.read().splitlines()
 
 
-def _unquoted(value: str) -> str:
+def _unquote(value: str) -> str:
     return value[1:-1] if value.startswith('"') else value
 
 
-def _time(text: str) -> float:
+def _parse_time(text: str) -> float:
     try:
         at = datetime.strptime(text, '%Y-%m-%d %H:%M:%S,%f')
     except ValueError:
--- a/packages/burdockchute/burdockchute/operators/losses.py
+++ b/packages/burdockchute/burdockchute/operators/losses.py
@@ -1,11 +1,11 @@
-"""`burdockchute-entry losses`: when callers got no whole answer, and why.
+"""`burdockchute-entry losses`: when and why requests were not answered.
 
-Reads the log lines of any number of entries and prints, for each span of
-time, how many requests ended, how many of them whole, how long requests
-waited for a place, and the reasons for the rest, the most frequent first. It
-needs nothing but logs, so it serves for a day in production as for a trial.
+Reads the log lines of any number of entries and prints, for each window of
+time, how many requests ended, how many of them with a complete answer, the
+median wait for a slot, and the reasons of the others, the most frequent
+first. It needs only logs, so it works for production and for trials.
 
->>> kind_of({'event': 'request_turned_away', 'reason': 'leaving in 0.5 s'})
+>>> reason_of({'event': 'request_turned_away', 'reason': 'leaving in 0.5 s'})
 'leaving in N s'
 """
 
@@ -23,29 +23,29 @@
 from burdockchute.operators.log_lines import parse_line
 from burdockchute.operators.log_lines import read_lines
 
-EXIT_NOTHING = 1
+EXIT_NOT_FOUND = 1
 
 DEFAULT_WINDOW_S = 2.0
 
-# Reasons that are shown for each span; the rest are counted together.
-SHOWN = 3
+# Reasons shown for each window; the others are counted together.
+MAX_REASONS_SHOWN = 3
 
-# What differs from one request to the next and says nothing of the reason.
+# Parts of a reason that differ between requests with the same reason.
 _NUMBERS = re.compile(r'\d+(\.\d+)?')
 _NAMES = re.compile(r"'[^']*'")
 
-WHOLE = 'answered'
+ANSWERED = 'answered'
 
 
 class Window(NamedTuple):
-    """What ended within one span; `began_s` counts from the first line.
+    """Requests that ended in one window; `start_s` is since the first line.
 
-    `waited_ms` is the median wait for a place, None where nothing was placed.
+    `waited_ms` is the median wait for a slot, None if nothing was placed.
     """
 
-    began_s: float
+    start_s: float
     ended: int
-    whole: int
+    complete: int
     waited_ms: float | None
     reasons: list[tuple[str, int]]
 
@@ -67,35 +67,38 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Print the table; 1 if no line tells of a request."""
+    """Print the table; returns 1 if no line is about the end of a request."""
     found = losses(read_lines(args.files), args.window)
     if not found:
         print('no line tells how a request ended', file=sys.stderr)
-        return EXIT_NOTHING
+        return EXIT_NOT_FOUND
     print(render(found))
     return 0
 
 
 def losses(texts: Iterable[str], window_s: float) -> list[Window]:
-    """Give what ended in each span that has anything, in order of time."""
+    """Return the windows in which requests ended, ordered by time."""
     lines = [parse_line(text) for text in texts if 'event=request_' in text]
     lines = [line for line in lines if line.at]
     if not lines:
         return []
     first = min(line.at for line in lines)
-    spans: dict[int, list[Line]] = {}
+    lines_by_window: dict[int, list[Line]] = {}
     for line in lines:
-        spans.setdefault(int((line.at - first) / window_s), []).append(line)
+        lines_by_window.setdefault(
+            int((line.at - first) / window_s), []
+        ).append(line)
     windows = [
-        _window(number * window_s, spans[number]) for number in sorted(spans)
+        _window(number * window_s, lines_by_window[number])
+        for number in sorted(lines_by_window)
     ]
     return [window for window in windows if window.ended]
 
 
-def kind_of(fields: Mapping[str, str]) -> str | None:
-    """Give why a request ended as it did, None where it did not end.
+def reason_of(fields: Mapping[str, str]) -> str | None:
+    """Return why a request ended as it did, None if the line is no end.
 
-    Numbers and names are taken out, so that one reason is counted as one.
+    Numbers and names are replaced, so that equal reasons are counted together.
     """
     event = fields.get('event')
     if event == 'request_turned_away':
@@ -103,7 +106,7 @@
     elif event == 'request_finished':
         text = fields.get('outcome', '')
         status = fields.get('status', '')
-        if text == WHOLE and not status.startswith('2'):
+        if text == ANSWERED and not status.startswith('2'):
             return f'status {status} of an upstream'
     else:
         return None
@@ -111,38 +114,42 @@
 
 
 def render(windows: Iterable[Window]) -> str:
-    """Give the table as text."""
+    """Return the table as text."""
     rows = [f'{"from s":>8} {"ended":>6} {"whole":>6} {"wait ms":>8}  why not']
     for window in windows:
-        shown = window.reasons[:SHOWN]
-        more = sum(count for _reason, count in window.reasons[SHOWN:])
-        why = [f'{count} {reason}' for reason, count in shown]
-        if more:
-            why.append(f'{more} other')
-        waited = '' if window.waited_ms is None else f'{window.waited_ms:.0f}'
+        shown = window.reasons[:MAX_REASONS_SHOWN]
+        other_count = sum(
+            count for _reason, count in window.reasons[MAX_REASONS_SHOWN:]
+        )
+        reason_texts = [f'{count} {reason}' for reason, count in shown]
+        if other_count:
+            reason_texts.append(f'{other_count} other')
+        wait_ms = '' if window.waited_ms is None else f'{window.waited_ms:.0f}'
         rows.append(
-            f'{window.began_s:8.1f} {window.ended:6} {window.whole:6}'
-            f' {waited:>8}  {"; ".join(why)}'.rstrip()
+            f'{window.start_s:8.1f} {window.ended:6} {window.complete:6}'
+            f' {wait_ms:>8}  {"; ".join(reason_texts)}'.rstrip()
         )
     return '\n'.join(rows)
 
 
-def _window(began_s: float, lines: list[Line]) -> Window:
-    kinds = Counter(
-        kind for line in lines if (kind := kind_of(line.fields)) is not None
+def _window(start_s: float, lines: list[Line]) -> Window:
+    reasons = Counter(
+        reason
+        for line in lines
+        if (reason := reason_of(line.fields)) is not None
     )
     waits = sorted(
         float(line.fields['waited_ms'])
         for line in lines
         if line.fields.get('waited_ms', '').isdigit()
     )
-    whole = kinds.pop(WHOLE, 0)
+    complete = reasons.pop(ANSWERED, 0)
     return Window(
-        began_s,
-        whole + kinds.total(),
-        whole,
+        start_s,
+        complete + reasons.total(),
+        complete,
         waits[len(waits) // 2] if waits else None,
-        sorted(kinds.items(), key=lambda item: (-item[1], item[0])),
+        sorted(reasons.items(), key=lambda item: (-item[1], item[0])),
     )
 
 
--- a/packages/burdockchute/burdockchute/operators/manifests.py
+++ b/packages/burdockchute/burdockchute/operators/manifests.py
@@ -1,7 +1,7 @@
-"""Manifests of weights, made where the weights are published.
+"""Builds the manifests of weights that are published.
 
-The weight store serves a manifest beside the content that it describes; the
-digest that is printed is what a row names.
+The weight store serves a manifest beside the content that it describes. Rows
+name the digest that is printed.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Write the manifest; 2 for bad input."""
+    """Write the manifest; returns 2 for bad input."""
     try:
         chunk_bytes = _parse_chunk_bytes(args.chunk_bytes)
         manifest = build(args.file, args.name or args.file.name, chunk_bytes)
@@ -55,7 +55,7 @@
 
 
 def build(path: pathlib.Path, name: str, chunk_bytes: int) -> Manifest:
-    """Make the manifest of a file that may be larger than memory."""
+    """Build the manifest of a file, which may be larger than memory."""
     chunks = tuple(map(manifests.digest_of, _chunks(path, chunk_bytes)))
     if not 1 <= len(chunks) <= manifests.MAX_CHUNKS:
         raise ValueError(
--- a/packages/burdockchute/burdockchute/operators/table_commands.py
+++ b/packages/burdockchute/burdockchute/operators/table_commands.py
@@ -45,8 +45,8 @@
 
 STDIN = '-'
 
-# One lost reply is no outage.
-LOAD_TRIES = 3
+# A single lost reply is not an outage.
+MAX_LOAD_ATTEMPTS = 3
 LOAD_RETRY_S = 0.3
 
 SETTINGS = (
@@ -66,7 +66,7 @@
 
 
 class Console(NamedTuple):
-    """Where a command reads answers and writes to."""
+    """The streams that a command reads from and writes to."""
 
     stdin: TextIO
     stdout: TextIO
@@ -74,7 +74,7 @@
 
 
 class Session(NamedTuple):
-    """What one run of a command works with."""
+    """The log, arguments and console of one run of a command."""
 
     log: Log
     by: str
@@ -91,37 +91,41 @@
         description=__doc__,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
-    verbs = table.add_subparsers(dest='verb', required=True)
-    listing = _add_verb(verbs, 'list', 'show the rows')
-    listing.add_argument('--kind', choices=KINDS, help='only this kind')
-    setting = _add_verb(
-        verbs,
+    subcommands = table.add_subparsers(dest='verb', required=True)
+    list_parser = _add_command(subcommands, 'list', 'show the rows')
+    list_parser.add_argument('--kind', choices=KINDS, help='only this kind')
+    set_parser = _add_command(
+        subcommands,
         'set',
         'change columns of a row, or add it: set model/story version=2 ...',
     )
-    setting.add_argument('key', metavar='KIND/NAME')
-    setting.add_argument('columns', metavar='COLUMN=VALUE', nargs='+')
-    removing = _add_verb(verbs, 'remove', 'remove rows')
-    removing.add_argument('keys', metavar='KIND/NAME', nargs='+')
-    importing = _add_verb(verbs, 'import', 'take the rows of a CSV file')
-    importing.add_argument('file', help="CSV file, '-' for standard input")
-    importing.add_argument(
+    set_parser.add_argument('key', metavar='KIND/NAME')
+    set_parser.add_argument('columns', metavar='COLUMN=VALUE', nargs='+')
+    remove_parser = _add_command(subcommands, 'remove', 'remove rows')
+    remove_parser.add_argument('keys', metavar='KIND/NAME', nargs='+')
+    import_parser = _add_command(
+        subcommands, 'import', 'take the rows of a CSV file'
+    )
+    import_parser.add_argument('file', help="CSV file, '-' for standard input")
+    import_parser.add_argument(
         '--remove-missing',
         action='store_true',
         help='also remove the rows that the file does not have',
     )
-    for editing in (setting, removing, importing):
-        editing.add_argument(
+    for edit_parser in (set_parser, remove_parser, import_parser):
+        edit_parser.add_argument(
             '--yes', action='store_true', help='save without asking'
         )
-        editing.add_argument(
+        edit_parser.add_argument(
             '--dry-run', action='store_true', help='only show the changes'
         )
-    _add_verb(verbs, 'export', 'write the rows as CSV to standard output')
-    history = _add_verb(
-        verbs, 'history', 'show the edits that the log still keeps'
+    _add_command(
+        subcommands, 'export', 'write the rows as CSV to standard output'
+    )
+    history_parser = _add_command(
+        subcommands, 'history', 'show the edits that the log still keeps'
     )
-    history.add_argument('key', metavar='KIND/NAME', nargs='?')
+    history_parser.add_argument('key', metavar='KIND/NAME', nargs='?')
 
 
 def run(
@@ -130,9 +134,10 @@
     make_log: Callable[[str], Log] = LogClient,
     console: Console | None = None,
 ) -> int:
-    """Run the chosen command and give the exit status.
+    """Run the given command and return its exit status.
 
-    0 when all is well, 1 when nothing or not all was saved, 2 for bad input.
+    0 for success, 1 if nothing or not everything was saved, or if the log
+    can't be read, 2 for bad input.
     """
     values = commands.read_or_exit(SETTINGS, args, environ)
     session = Session(
@@ -142,11 +147,13 @@
         args,
         console or Console(sys.stdin, sys.stdout, sys.stderr),
     )
-    return _VERBS[args.verb](session)
+    return _COMMANDS[args.verb](session)
 
 
-def _add_verb(verbs: Any, name: str, text: str) -> argparse.ArgumentParser:
-    parser = verbs.add_parser(name, help=text, description=text)
+def _add_command(
+    subcommands: Any, name: str, text: str
+) -> argparse.ArgumentParser:
+    parser = subcommands.add_parser(name, help=text, description=text)
     settings.add_flags(parser, SETTINGS)
     return parser
 
@@ -157,7 +164,7 @@
         return EXIT_FAILED
     for key, held in sorted(table.rows.items()):
         if session.args.kind in (None, key.kind):
-            _say(session, table_text.describe_row(key, held))
+            _print_line(session, table_text.describe_row(key, held))
     return 0
 
 
@@ -189,10 +196,12 @@
     try:
         data = _read_file(session, name)
     except OSError as exc:
-        return _fail(session, [Finding(name, exc.strerror or str(exc))])
+        return _report_findings(
+            session, [Finding(name, exc.strerror or str(exc))]
+        )
     read = table_csv.read(data, name)
     if isinstance(read, Failure):
-        return _fail(session, read.failure())
+        return _report_findings(session, read.failure())
     return _edit(
         session,
         lambda table: table_edits.edits_to_import(
@@ -207,47 +216,51 @@
         try:
             key = checks.parse_key(session.args.key)
         except ValueError as exc:
-            return _fail(session, [Finding(session.args.key, str(exc))])
+            return _report_findings(
+                session, [Finding(session.args.key, str(exc))]
+            )
     read = table_history.read_history(session.log, key)
     if isinstance(read, Failure):
-        _complain(session, f'the log can not be read: {read.failure()!r}')
+        _print_error(session, f'the log can not be read: {read.failure()!r}')
         return EXIT_FAILED
-    for past in read.unwrap():
-        head = f'{past.offset} {past.at} {past.by or "?"}: {past.verdict}'
-        _say(session, f'{head}\n{past.edits}')
+    for entry in read.unwrap():
+        header = (
+            f'{entry.offset} {entry.at} {entry.by or "?"}: {entry.verdict}'
+        )
+        _print_line(session, f'{header}\n{entry.edits}')
     return 0
 
 
 def _edit(
     session: Session,
-    make: Callable[[Table], table_edits.Edits],
+    make_edits: Callable[[Table], table_edits.Edits],
 ) -> int:
     table = _load(session)
     if table is None:
         return EXIT_FAILED
-    made = make(table)
-    if isinstance(made, Failure):
-        return _fail(session, made.failure())
-    edits = made.unwrap()
+    edits_result = make_edits(table)
+    if isinstance(edits_result, Failure):
+        return _report_findings(session, edits_result.failure())
+    edits = edits_result.unwrap()
     if not edits:
-        _say(session, 'nothing to change')
+        _print_line(session, 'nothing to change')
         return 0
-    _say(session, table_text.describe_edits(edits, table.rows))
+    _print_line(session, table_text.describe_edits(edits, table.rows))
     if session.args.dry_run:
         return 0
     if not _is_confirmed(session):
-        _say(session, 'nothing saved')
+        _print_line(session, 'nothing saved')
         return EXIT_FAILED
     return _save_all(session, table, edits)
 
 
 def _save_all(session: Session, table: Table, edits: Sequence[RowEdit]) -> int:
     for start in range(0, len(edits), MAX_EDITS):
-        part = tuple(edits[start : start + MAX_EDITS])
+        batch = tuple(edits[start : start + MAX_EDITS])
         record = EditRecord(
-            str(uuid.uuid4()), table.offset, part, session.by, _utc_now()
+            str(uuid.uuid4()), table.offset, batch, session.by, _utc_now()
         )
-        saving = table_writer.save(
+        result = table_writer.save(
             session.log,
             table,
             record,
@@ -255,22 +268,24 @@
             time.monotonic,
             time.sleep,
         )
-        if isinstance(saving, Failure):
-            _explain(session, saving.failure())
+        if isinstance(result, Failure):
+            _explain_failure(session, result.failure())
             if start:
-                _complain(session, f'the first {start} edits are saved')
+                _print_error(session, f'the first {start} edits are saved')
             return EXIT_FAILED
-        saved = saving.unwrap()
+        saved = result.unwrap()
         table = saved.table
-        _say(session, f'accepted at offset {saved.offset}: {len(part)} rows')
+        _print_line(
+            session, f'accepted at offset {saved.offset}: {len(batch)} rows'
+        )
     return 0
 
 
-def _explain(session: Session, failure: table_writer.NotSaved) -> None:
+def _explain_failure(session: Session, failure: table_writer.NotSaved) -> None:
     if isinstance(failure, table_writer.NotAppended):
-        _complain(session, f'nothing saved: the log said {failure.error!r}')
+        _print_error(session, f'nothing saved: the log said {failure.error!r}')
     elif isinstance(failure, table_writer.NotReadBack):
-        _complain(
+        _print_error(
             session,
             f'it is not known whether this was saved ({failure.error}); '
             f"look for it with 'table history' before you repeat it",
@@ -279,13 +294,13 @@
         present = table_text.describe_row(
             failure.verdict.key, failure.verdict.present
         )
-        _complain(
+        _print_error(
             session,
             f'nothing saved: {reducer.describe(failure.verdict)}\n'
             f'the present row: {present}',
         )
     else:
-        _complain(
+        _print_error(
             session, f'nothing saved: {reducer.describe(failure.verdict)}'
         )
 
@@ -300,13 +315,13 @@
 
 
 def _load(session: Session) -> Table | None:
-    for _number in range(LOAD_TRIES):
+    for _number in range(MAX_LOAD_ATTEMPTS):
         loading = table_log.load(session.log)
         if not isinstance(loading, Failure):
             break
         time.sleep(LOAD_RETRY_S)
     if isinstance(loading, Failure):
-        _complain(session, f'no table: the log said {loading.failure()!r}')
+        _print_error(session, f'no table: the log said {loading.failure()!r}')
         return None
     return loading.unwrap().table
 
@@ -322,20 +337,20 @@
     return now.isoformat(timespec='seconds')
 
 
-def _fail(session: Session, found: Sequence[Finding]) -> int:
-    _complain(session, findings.render_all(found))
+def _report_findings(session: Session, found: Sequence[Finding]) -> int:
+    _print_error(session, findings.render_all(found))
     return EXIT_BAD_INPUT
 
 
-def _say(session: Session, text: str) -> None:
+def _print_line(session: Session, text: str) -> None:
     print(text, file=session.console.stdout)
 
 
-def _complain(session: Session, text: str) -> None:
+def _print_error(session: Session, text: str) -> None:
     print(text, file=session.console.stderr)
 
 
-_VERBS: dict[str, Callable[[Session], int]] = {
+_COMMANDS: dict[str, Callable[[Session], int]] = {
     'list': _list,
     'set': _set,
     'remove': _remove,
--- a/packages/burdockchute/burdockchute/operators/table_csv.py
+++ b/packages/burdockchute/burdockchute/operators/table_csv.py
@@ -1,9 +1,9 @@
-"""The table as CSV, as a spreadsheet opens and saves it.
+"""The table as CSV, as opened and saved by spreadsheets.
 
-One line for each row: its kind, name and revision, then the columns of every
-kind. A cell that is empty has the default, '-' stands for empty text, and a
-cell in a column that the row's kind does not have must be empty. Lines may
-be separated into cells by ',' or ';'.
+Each row has one line: its kind, name and revision, then the columns of all
+kinds. An empty cell means the default and '-' the empty text. A cell of a
+column that the row's kind does not have must be empty. Cells may be separated
+by ',' or ';'.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 from burdockchute.model.rows import RowKey
 from burdockchute.model.table import Revisioned
 
-HEAD = ('kind', 'name', 'revision')
+LEADING_COLUMNS = ('kind', 'name', 'revision')
 
 
 class ReadRow(NamedTuple):
     """One line of a file.
 
-    `revision` is the one that the file was exported with, None where the
+    `revision` is the row's revision at the time of the export, None if the
     cell is empty.
     """
 
@@ -42,8 +42,8 @@
 
 
 def columns() -> tuple[str, ...]:
-    """Give the columns of a file, in their order."""
-    found = list(HEAD)
+    """Return the columns of a file, in order."""
+    found = list(LEADING_COLUMNS)
     for kind in KINDS:
         for name in checks.columns_of(kind):
             if name not in found:
@@ -52,19 +52,19 @@
 
 
 def write(rows: Mapping[RowKey, Revisioned]) -> str:
-    """Give the file's text, rows in the order of kind and name."""
+    """Return the text of a file, with rows ordered by kind and name."""
     out = io.StringIO()
     writer = csv.DictWriter(out, columns(), restval='', lineterminator='\n')
     writer.writeheader()
-    for key, held in sorted(rows.items()):
-        cells = checks.cells_of(held.row)
-        cells |= {'kind': key.kind, 'revision': str(held.revision)}
+    for key, revisioned in sorted(rows.items()):
+        cells = checks.cells_of(revisioned.row)
+        cells |= {'kind': key.kind, 'revision': str(revisioned.revision)}
         writer.writerow(cells)
     return out.getvalue()
 
 
 def read(data: bytes, file_name: str) -> Result[list[ReadRow], list[Finding]]:
-    """Give the rows, or every finding as file:line:column."""
+    """Return the rows, or all findings with places as file:line:column."""
     try:
         text = data.decode('utf-8-sig')
     except UnicodeDecodeError as exc:
@@ -83,12 +83,12 @@
                 _read_line(names, cells, place, rows, found)
     except csv.Error as exc:
         found.append(Finding(f'{file_name}:{reader.line_num}', str(exc)))
-    _find_repeated(rows, found)
+    _find_duplicates(rows, found)
     return Failure(found) if found else Success(rows)
 
 
 def _delimiter(text: str) -> str:
-    # Spreadsheets write ';' where a number's decimal sign is a comma.
+    # Spreadsheets write ';' in locales with a decimal comma.
     header = text.partition('\n')[0]
     return ';' if ';' in header and ',' not in header else ','
 
@@ -144,7 +144,7 @@
     return int(text)
 
 
-def _find_repeated(rows: list[ReadRow], found: list[Finding]) -> None:
+def _find_duplicates(rows: list[ReadRow], found: list[Finding]) -> None:
     first: dict[RowKey, str] = {}
     for read_row in rows:
         key = key_of(read_row.row)
--- a/packages/burdockchute/burdockchute/operators/table_edits.py
+++ b/packages/burdockchute/burdockchute/operators/table_edits.py
@@ -1,4 +1,4 @@
-"""From what an operator asks for to the edits to append, checked whole."""
+"""Turns an operator's command into edits, and validates the result."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 def edits_to_set(
     table: Table, key_text: str, assignments: Sequence[str]
 ) -> Edits:
-    """Change the named columns of a row, or add it.
+    """Return the edit that changes columns of a row, or adds the row.
 
     `assignments` are 'column=value'.
     """
     found: list[Finding] = []
-    key = _key(key_text, found)
-    values = _assigned(assignments, found)
+    key = _parse_key(key_text, found)
+    values = _parse_assignments(assignments, found)
     if key is None or found:
         return Failure(found)
-    held = table.rows.get(key)
-    before = checks.values_of(held.row) if held else {'name': key.name}
+    current = table.rows.get(key)
+    before = checks.values_of(current.row) if current else {'name': key.name}
     checked = checks.check_row(key.kind, {**before, **values}, str(key))
     if isinstance(checked, Failure):
         return Failure(checked.failure())
@@ -46,50 +46,50 @@
     if row.name != key.name:
         text = 'a row keeps its name; add another and remove this one'
         return Failure([Finding(f'{key}:name', text)])
-    if held and held.row == row:
+    if current and current.row == row:
         return Success([])
-    base = held.revision if held else NO_OFFSET
-    return _related(table, [RowEdit(key, base, row)])
+    base = current.revision if current else NO_OFFSET
+    return _check_references(table, [RowEdit(key, base, row)])
 
 
 def edits_to_remove(table: Table, key_texts: Sequence[str]) -> Edits:
-    """Remove rows."""
+    """Return the edits that remove rows."""
     found: list[Finding] = []
     edits = []
     for text in dict.fromkeys(key_texts):
-        key = _key(text, found)
+        key = _parse_key(text, found)
         if key is None:
             continue
-        held = table.rows.get(key)
-        if held is None:
+        current = table.rows.get(key)
+        if current is None:
             found.append(Finding(text, 'is not in the table'))
             continue
-        edits.append(RowEdit(key, held.revision, None))
+        edits.append(RowEdit(key, current.revision, None))
     if found:
         return Failure(found)
-    return _related(table, edits)
+    return _check_references(table, edits)
 
 
 def edits_to_import(
     table: Table, read_rows: Sequence[ReadRow], remove_missing: bool
 ) -> Edits:
-    """Take the rows of a file; rows that are the same make no edit.
+    """Return the edits that import the rows of a file; none if unchanged.
 
-    A row with the revision it was exported with must still have it, so that
-    what a colleague saved meanwhile is not undone by an older copy.
+    If the file has the revision of a row, the row must still have it, so that
+    an older copy does not overwrite what a colleague has saved since.
     """
     found: list[Finding] = []
     edits: list[RowEdit] = []
     for read_row in read_rows:
         key = key_of(read_row.row)
-        held = table.rows.get(key)
-        if held and held.row == read_row.row:
+        current = table.rows.get(key)
+        if current and current.row == read_row.row:
             continue
-        base = held.revision if held else NO_OFFSET
+        base = current.revision if current else NO_OFFSET
         if read_row.revision is not None and read_row.revision != base:
             text = (
                 f'changed since revision {read_row.revision}; the present '
-                f'row: {describe_row(key, held)}'
+                f'row: {describe_row(key, current)}'
             )
             found.append(Finding(f'{read_row.place}:revision', text))
             continue
@@ -97,23 +97,23 @@
     if remove_missing:
         kept = {key_of(read_row.row) for read_row in read_rows}
         edits.extend(
-            RowEdit(key, held.revision, None)
-            for key, held in sorted(table.rows.items())
+            RowEdit(key, current.revision, None)
+            for key, current in sorted(table.rows.items())
             if key not in kept
         )
     if found:
         return Failure(found)
     places = {key_of(r.row): r.place for r in read_rows}
-    return _related(table, edits, places)
+    return _check_references(table, edits, places)
 
 
-def _related(
+def _check_references(
     table: Table,
     edits: list[RowEdit],
     places: Mapping[RowKey, str] | None = None,
 ) -> Edits:
     before: dict[RowKey, Row] = {
-        key: held.row for key, held in table.rows.items()
+        key: current.row for key, current in table.rows.items()
     }
     after = dict(before)
     for edit in edits:
@@ -123,11 +123,11 @@
             after[edit.key] = edit.row
     found = references.new_problems(before, after)
     if found:
-        return Failure([_with_place(finding, places) for finding in found])
+        return Failure([_locate_finding(finding, places) for finding in found])
     return Success(edits)
 
 
-def _with_place(
+def _locate_finding(
     finding: Finding, places: Mapping[RowKey, str] | None
 ) -> Finding:
     key_text, _colon, column = finding.place.rpartition(':')
@@ -137,7 +137,7 @@
     return Finding(f'{place}:{column}', f'{key_text}: {finding.text}')
 
 
-def _key(text: str, found: list[Finding]) -> RowKey | None:
+def _parse_key(text: str, found: list[Finding]) -> RowKey | None:
     try:
         return checks.parse_key(text)
     except ValueError as exc:
@@ -145,7 +145,7 @@
         return None
 
 
-def _assigned(
+def _parse_assignments(
     assignments: Iterable[str], found: list[Finding]
 ) -> dict[str, str]:
     values: dict[str, str] = {}
--- a/packages/burdockchute/burdockchute/operators/table_history.py
+++ b/packages/burdockchute/burdockchute/operators/table_history.py
@@ -1,4 +1,4 @@
-"""What became of each record that the log still keeps."""
+"""The history of the table: each record in the log with its verdict."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class HistoryEntry(NamedTuple):
-    """One record with its verdict in words, and what it asked for."""
+    """One record, with its verdict and edits as text."""
 
     offset: int
     at: str
@@ -35,11 +35,11 @@
 def read_history(
     log: Log, key: RowKey | None = None
 ) -> Result[list[HistoryEntry], LogError]:
-    """Give the past of the table, or of one row, oldest first."""
-    asked = log.extent(table_log.STREAM)
-    if isinstance(asked, Failure):
-        return asked
-    extent = asked.unwrap()
+    """Return the history of the table, or of one row, oldest first."""
+    result = log.extent(table_log.STREAM)
+    if isinstance(result, Failure):
+        return result
+    extent = result.unwrap()
     read = table_log.read_range(log, extent.earliest, extent.next_offset)
     if isinstance(read, Failure):
         return read
@@ -48,23 +48,25 @@
         if extent.earliest == 0
         else _oldest_snapshot(read.unwrap())
     )
-    past = _replay(read.unwrap(), table)
-    return Success([p for keys, p in past if key is None or key in keys])
+    entries = _replay(read.unwrap(), table)
+    return Success(
+        [entry for keys, entry in entries if key is None or key in keys]
+    )
 
 
-def _oldest_snapshot(held: list[LogRecord]) -> Table | None:
-    for record in held:
+def _oldest_snapshot(log_records: list[LogRecord]) -> Table | None:
+    for record in log_records:
         parsed = records.parse(record.data, '').value_or(None)
         if isinstance(parsed, records.SnapshotRecord):
-            if parsed.table.offset + 1 >= held[0].offset:
+            if parsed.table.offset + 1 >= log_records[0].offset:
                 return parsed.table
     return None
 
 
 def _replay(
-    held: list[LogRecord], table: Table | None
+    log_records: list[LogRecord], table: Table | None
 ) -> Iterator[tuple[set[RowKey], HistoryEntry]]:
-    for offset, data in held:
+    for offset, data in log_records:
         place = reducer.place_of(offset)
         parsed = records.parse_edit(data, place)
         if isinstance(parsed, Failure):
@@ -73,23 +75,23 @@
         else:
             edit = parsed.unwrap()
             if edit is not None:
-                keys = {one.key for one in edit.edits}
-                yield keys, _past(table, offset, edit)
+                keys = {row_edit.key for row_edit in edit.edits}
+                yield keys, _history_entry(table, offset, edit)
         if table is not None and offset > table.offset:
             table, _findings = reducer.apply_record(table, offset, data)
 
 
-def _past(
+def _history_entry(
     table: Table | None, offset: int, record: EditRecord
 ) -> HistoryEntry:
-    # The verdict on a record from before the oldest snapshot hangs on
-    # records that are no longer kept.
+    # The verdict on a record from before the oldest snapshot depends on
+    # records that have been trimmed.
     verdict = 'no longer known'
     rows = {}
     if table is not None and offset > table.offset:
-        judged = reducer.evaluate_edit(table, offset, record)
-        is_accepted = isinstance(judged, reducer.Accepted)
-        text = reducer.describe(judged)
+        evaluated = reducer.evaluate_edit(table, offset, record)
+        is_accepted = isinstance(evaluated, reducer.Accepted)
+        text = reducer.describe(evaluated)
         verdict = text if is_accepted else f'refused: {text}'
         rows = dict(table.rows)
     edits = table_text.describe_edits(record.edits, rows)
--- a/packages/burdockchute/burdockchute/operators/table_text.py
+++ b/packages/burdockchute/burdockchute/operators/table_text.py
@@ -18,38 +18,38 @@
 def describe_edits(
     edits: Iterable[RowEdit], rows: Mapping[RowKey, Revisioned]
 ) -> str:
-    """Say what each edit changes, column by column."""
+    """Return what each edit changes, column by column."""
     return '\n'.join(
         line for edit in edits for line in _edit_lines(edit, rows)
     )
 
 
-def describe_row(key: RowKey, held: Revisioned | None) -> str:
-    """Give one line for a row: its key, revision and columns.
+def describe_row(key: RowKey, revisioned: Revisioned | None) -> str:
+    """Return one line for a row: its key, revision and columns.
 
-    Columns that have their default are left out.
+    Columns with their default value are left out.
     """
-    if held is None:
+    if revisioned is None:
         return f'{key} is not there'
-    cells = checks.cells_of(held.row)
+    cells = checks.cells_of(revisioned.row)
     defaults = ROW_TYPES[key.kind]._field_defaults  # type: ignore[attr-defined]
     shown = [
         f'{name}={cells[name]}'
-        for name, value in checks.values_of(held.row).items()
+        for name, value in checks.values_of(revisioned.row).items()
         if name != 'name' and defaults.get(name) != value
     ]
-    return ' '.join([str(key), f'revision={held.revision}', *shown])
+    return ' '.join([str(key), f'revision={revisioned.revision}', *shown])
 
 
 def _edit_lines(edit: RowEdit, rows: Mapping[RowKey, Revisioned]) -> list[str]:
-    held = rows.get(edit.key)
+    revisioned = rows.get(edit.key)
     if edit.row is None:
         return [f'remove {edit.key} (revision {edit.base})']
-    if held is None:
+    if revisioned is None:
         lines = _column_lines(None, edit.row)
         return [f'add {edit.key}', *lines]
-    lines = _column_lines(held.row, edit.row)
-    return [f'change {edit.key} (revision {held.revision})', *lines]
+    lines = _column_lines(revisioned.row, edit.row)
+    return [f'change {edit.key} (revision {revisioned.revision})', *lines]
 
 
 def _column_lines(old: Row | None, new: Row) -> list[str]:
--- a/packages/burdockchute/burdockchute/operators/table_writer.py
+++ b/packages/burdockchute/burdockchute/operators/table_writer.py
@@ -1,8 +1,8 @@
-"""Save edits: append them and read back what became of them.
+"""Saves edits: appends them to the log and reads back their verdict.
 
-An append's reply says only that the record is in the log. Whether it is
-accepted is decided by the records before it, so the writer follows the
-stream to its own record and judges it as every process does.
+The reply to an append says only that the record is in the log. Whether it is
+accepted depends on the records before it, so the writer reads the stream up
+to its own record and evaluates it as every process does.
 """
 
 from __future__ import annotations
@@ -28,21 +28,21 @@
 POLL_S = 1.0
 RETRY_S = 0.5
 
-# A record whose append got no reply is looked for this long before it is
-# appended again. Should the first copy still come after that, the reducer
-# ignores the second by its id.
+# If an append gets no reply, the log is searched for the record for this long
+# before it is appended again. If the first copy arrives after that, the
+# reducer ignores the second one by its id.
 SEARCH_S = 2.0
 
 
 class Saved(NamedTuple):
-    """The record at `offset` is in force; `table` is the one after it."""
+    """The record at `offset` was accepted; `table` includes it."""
 
     offset: int
     table: Table
 
 
 class EditRefused(NamedTuple):
-    """The record is in the log but every process refuses it."""
+    """The record is in the log, but every process refuses it."""
 
     offset: int
     verdict: reducer.Verdict
@@ -50,13 +50,13 @@
 
 
 class NotAppended(NamedTuple):
-    """The log did not take the record; nothing was changed."""
+    """The log did not accept the record; nothing was changed."""
 
     error: LogError
 
 
 class NotReadBack(NamedTuple):
-    """The record may be in the log; what became of it can't be told yet."""
+    """The record may be in the log; its verdict is not known."""
 
     record_id: str
     error: str
@@ -75,13 +75,13 @@
 ) -> Result[Saved, NotSaved]:
     """Append one record and wait until it is read back.
 
-    `table` is the one that the edits were made from. `clock` gives seconds.
+    `table` is the table that was edited. `clock` returns seconds.
     """
-    until = clock() + timeout_s
+    deadline = clock() + timeout_s
     text = serialize(record)
     maybe_appended = False
     error: object = ''
-    while clock() < until:
+    while clock() < deadline:
         appended = log.append(table_log.STREAM, text)
         if isinstance(appended, Failure):
             error = appended.failure()
@@ -91,9 +91,11 @@
             if not isinstance(error, Unsure) and not maybe_appended:
                 break
         maybe_appended = True
-        is_sure = isinstance(appended, Success)
-        look_until = until if is_sure else min(until, clock() + SEARCH_S)
-        found = _follow(log, table, record, look_until, clock, sleep)
+        is_appended = isinstance(appended, Success)
+        search_deadline = (
+            deadline if is_appended else min(deadline, clock() + SEARCH_S)
+        )
+        found = _find_record(log, table, record, search_deadline, clock, sleep)
         if found is not None:
             return found
     if maybe_appended:
@@ -102,39 +104,39 @@
     return Failure(NotAppended(error))  # type: ignore[arg-type]
 
 
-def _follow(
+def _find_record(
     log: Log,
     table: Table,
     record: EditRecord,
-    until: float,
+    deadline: float,
     clock: Callable[[], float],
     sleep: Callable[[float], None],
 ) -> Result[Saved, NotSaved] | None:
-    """Read on to the record; None if it does not come in time."""
+    """Read up to the record; None if it is not found before the deadline."""
     start = table.offset + 1
-    while clock() < until:
-        wait_s = max(0.0, min(POLL_S, until - clock()))
+    while clock() < deadline:
+        wait_s = max(0.0, min(POLL_S, deadline - clock()))
         read = log.read(table_log.STREAM, start, table_log.MAX_RECORDS, wait_s)
         if isinstance(read, Failure):
             sleep(RETRY_S)
             continue
         batch = read.unwrap()
         for offset, data in batch.records:
-            if _is_same(record, offset, data):
-                return _judged(table, offset, record)
+            if _is_record(record, offset, data):
+                return _evaluate(table, offset, record)
             table, _findings = reducer.apply_record(table, offset, data)
         start = batch.next_offset
     return None
 
 
-def _is_same(record: EditRecord, offset: int, data: str) -> bool:
+def _is_record(record: EditRecord, offset: int, data: str) -> bool:
     if record.record_id not in data:
         return False
     parsed = parse_edit(data, reducer.place_of(offset)).value_or(None)
     return parsed is not None and parsed.record_id == record.record_id
 
 
-def _judged(
+def _evaluate(
     table: Table, offset: int, record: EditRecord
 ) -> Result[Saved, NotSaved]:
     verdict = reducer.evaluate_edit(table, offset, record)
--- a/packages/burdockchute/tests/operators/test_publishing.py
+++ b/packages/burdockchute/tests/operators/test_publishing.py
@@ -1,4 +1,4 @@
-"""Keys and manifests, as an operator makes them."""
+"""The operators' commands for keys and manifests."""
 
 from __future__ import annotations
 
--- a/packages/burdockchute/tests/test_explain.py
+++ b/packages/burdockchute/tests/test_explain.py
@@ -40,10 +40,10 @@
         )
 
     def test_a_process_that_was_killed_started_again(self):
-        """An entry loses power with a request in hand, and writes nothing.
+        """An entry loses power with a request in flight, and logs nothing.
 
-        Without its next start, the timeline ends with the placing and leaves
-        the reader to guess.
+        Without its next start, the timeline would end with the placement and
+        not show why.
         """
         lines = [
             'at="2026-01-02 03:04:03,000" event=request_placed '
--- a/packages/burdockchute/tests/test_losses.py
+++ b/packages/burdockchute/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""When callers got no whole answer, from the logs of entries."""
+"""When and why requests were not answered, from the logs of entries."""
 
 from __future__ import annotations
 
@@ -39,10 +39,10 @@
 
 class LossesTest(unittest.TestCase):
     def test_reasons_are_counted_by_span(self):
-        """Two seconds of a day went badly, and nobody knows why.
+        """Many requests fail for the same reason within two seconds.
 
-        Each refusal names its own wait; counted as they stand, every line
-        would be a reason of its own.
+        The text of each refusal has its own wait; if the texts were compared
+        as they are, each would be counted as a reason of its own.
         """
         first, last = losses.losses(LINES, 2.0)
         self.assertEqual((0.0, 4, 1, 40.0), first[:4])
--- a/packages/burdockchute/tests/test_table_commands.py
+++ b/packages/burdockchute/tests/test_table_commands.py
@@ -1,4 +1,4 @@
-"""The table's commands over a log in memory."""
+"""The table's commands with an in-memory log."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 
 
 class Terminal(io.StringIO):
-    """Standard input of a person at a terminal."""
+    """Standard input that is a terminal."""
 
     def isatty(self) -> bool:
-        """Say that somebody can be asked."""
+        """Return that it is a terminal."""
         return True
 
 
@@ -43,7 +43,7 @@
         self.log = FakeLog()
 
     def run_table(self, *words: str, stdin: io.StringIO | None = None):
-        """Give exit status, standard output and standard error."""
+        """Return exit status, standard output and standard error."""
         parser = argparse.ArgumentParser()
         table_commands.add_parser(parser.add_subparsers())
         console = table_commands.Console(
@@ -131,8 +131,8 @@
         self.assertEqual({}, dict(self.table().rows))
 
     def test_of_two_operators_the_second_is_told_the_present_row(self):
-        # A colleague saves the same row between our reading it and our
-        # append. Ours would undo the other's change unseen.
+        # A colleague saves the same row between our read and our append. Our
+        # edit would silently undo the colleague's change.
         self.add_story()
         append = self.log.append
         row = tables.model(version='7', digest=tables.digest('7'))
@@ -158,8 +158,8 @@
         self.assertEqual([row], [h.row for h in self.table().rows.values()])
 
     def test_reply_of_the_append_is_lost(self):
-        # The log took the record but its reply did not come. Told "not
-        # saved", the operator would save again, and fail on the own edit.
+        # The log accepted the record but the reply was lost. If told "not
+        # saved", operators would save again and conflict with their own edit.
         self.log.lose_replies = 1
         self.add_story()
         self.assertEqual(1, len(self.log.all_records('table')))
@@ -172,8 +172,8 @@
 
     def test_first_copy_comes_after_the_second(self):
         # The first append was only slow. Its copy arrives after the record
-        # was appended again; it must neither count twice nor be refused as
-        # a race that the operator lost against himself.
+        # was appended again. The edit must neither be applied twice nor be
+        # refused as conflicting with itself.
         append = self.log.append
         held = []
 
@@ -278,8 +278,8 @@
         self.assertIn('accepted at offset 2: 2 rows', out)
 
     def test_import_of_a_file_older_than_a_colleagues_change(self):
-        # The table was exported, a colleague changed a row, and the file is
-        # imported with other rows changed: the colleague's row must stay.
+        # After the export a colleague changes a row, and the file is imported
+        # with changes to other rows. It must not overwrite that row.
         self.add_story()
         _status, text, _err = self.run_table('export')
         self.run_table('set', 'model/story', 'replicas=5')
