--- a/packages/burdockchute/burdockchute/callers/server.py
+++ b/packages/burdockchute/burdockchute/callers/server.py
@@ -138,7 +138,7 @@
             with gevent.Timeout(HEADERS_TIMEOUT_S):
                 is_valid = super().read_request(raw_requestline)
         except (gevent.Timeout, TimeoutError):
-            raise ValueError('headers did not come in time') from None
+            raise ValueError('headers were not received in time') from None
         _check_framing(self.headers)
         return is_valid
 
@@ -169,7 +169,7 @@
     if encodings and (len(encodings) > 1 or encodings[0].lower() != 'chunked'):
         raise ValueError(f'transfer-encoding {encodings!r} is not chunked')
     if len(lengths) > 1 or (encodings and lengths):
-        raise ValueError('the length of the body is said twice')
+        raise ValueError('the length of the body is given twice')
     if lengths and not lengths[0].strip().isdigit():
         raise ValueError(f'content-length {lengths[0]!r} is no size')
 
@@ -195,7 +195,9 @@
         left = (self.content_length or 0) - self.position
         if left > MAX_DISCARD_BYTES:
             return
-        with gevent.Timeout(DISCARD_TIMEOUT_S, OSError('body is slow')):
+        with gevent.Timeout(
+            DISCARD_TIMEOUT_S, OSError('body was not received in time')
+        ):
             super()._discard()
 
 
--- a/packages/burdockchute/burdockchute/operators/burn.py
+++ b/packages/burdockchute/burdockchute/operators/burn.py
@@ -128,7 +128,7 @@
     return [lines[key] for key in sorted(lines)]
 
 
-def render(lines: list[ReportLine], answered: int, asked: int) -> str:
+def render(lines: list[ReportLine], answered: int, total: int) -> str:
     """Return the report as text."""
     header = ['objective', 'customer', 'model', 'indicator', 'target']
     header += [_window_label(window) for window in burn.windows()] + ['alert']
@@ -141,7 +141,7 @@
         for row in rows
     ]
     text.append(
-        f'burn rates over {answered} of {asked} entries, each since its '
+        f'burn rates over {answered} of {total} entries, each since its '
         'start; 1.0 uses up exactly what is allowed'
     )
     return '\n'.join(text)
--- a/packages/burdockchute/burdockchute/operators/table_commands.py
+++ b/packages/burdockchute/burdockchute/operators/table_commands.py
@@ -162,9 +162,9 @@
     table = _load(session)
     if table is None:
         return EXIT_FAILED
-    for key, held in sorted(table.rows.items()):
+    for key, revisioned in sorted(table.rows.items()):
         if session.args.kind in (None, key.kind):
-            _print_line(session, table_text.describe_row(key, held))
+            _print_line(session, table_text.describe_row(key, revisioned))
     return 0
 
 
--- a/packages/burdockchute/tests/callers/test_http.py
+++ b/packages/burdockchute/tests/callers/test_http.py
@@ -99,7 +99,7 @@
         self.assertEqual('answered', outcome['outcome'])
         self.assertEqual(2, outcome['parts'])
 
-    def test_stream_that_broke_says_so(self):
+    def test_failed_stream_ends_with_its_outcome(self):
         # The upstream is lost after the first token. Without the last event
         # a reader would take what arrived for the complete answer.
         self.replies = [
@@ -113,7 +113,7 @@
         last = json.loads(body.decode().split('data: ')[-1])
         self.assertEqual('unknown', last['outcome'])
 
-    def test_refusal_says_when_to_come_back(self):
+    def test_refusal_has_retry_after(self):
         self.replies = [Done(NotRun('over its limit', 429, 2.5))]
         for stream in (False, True):
             res, _body = self.post(
@@ -202,14 +202,14 @@
         sock.sendall(b'1000\r\n' + b'x' * 0x1000 + b'\r\n')
         self.assertIn(b' 413 ', self.read_all(sock))
 
-    def test_slow_sending_caller_is_cut_off(self):
+    def test_slow_body_is_refused(self):
         # A caller sends a few bytes of its body and then nothing more. Its
         # connection and buffers must not be kept without limit.
         sock = self.open_post(b'Content-Length: 100\r\n\r\nabc')
         self.assertIn(b' 408 ', self.read_all(sock))
         self.assertEqual([], self.submitted)
 
-    def test_waiting_caller_that_hangs_up_is_noticed(self):
+    def test_disconnect_of_a_waiting_caller_is_noticed(self):
         # The caller closes its connection while it waits. Nothing is
         # written to it, so nothing fails, and the upstream would go on
         # producing an answer that nobody reads.
@@ -223,7 +223,7 @@
             self.submitted[0].request_id, self.gone.get(timeout=5)
         )
 
-    def test_leaving_entry_takes_no_request(self):
+    def test_stopping_entry_accepts_no_request(self):
         self.accepting = False
         answer = self.post({'model': 'story', 'prompt': 'a'})
         self.check_refused(answer, 503, 'request')
--- a/packages/burdockchute/tests/callers/test_parse.py
+++ b/packages/burdockchute/tests/callers/test_parse.py
@@ -18,7 +18,7 @@
 
 
 class ParseTest(unittest.TestCase):
-    def test_whole_request(self):
+    def test_complete_request(self):
         body = b'{"model": "story", "prompt": "one two", "max_tokens": 7}'
         ctx = parse.parse_request(
             received(
@@ -47,7 +47,7 @@
         ).failure()
         self.assertEqual('Burdockchute-Priority', rejected.findings[0].place)
 
-    def test_prefixes_are_of_whole_blocks(self):
+    def test_prefixes_are_of_complete_blocks(self):
         words = [f'w{n}' for n in range(130)]
         first = blake3.blake3(' '.join(words[:64]).encode()).hexdigest()
         second = blake3.blake3(' '.join(words[:128]).encode()).hexdigest()
--- a/packages/burdockchute/tests/test_explain.py
+++ b/packages/burdockchute/tests/test_explain.py
@@ -22,7 +22,7 @@
 
 
 class ExplainTest(unittest.TestCase):
-    def test_gives_the_request_and_what_bears_on_it(self):
+    def test_returns_the_relevant_lines(self):
         found = explain.explain('q-1', LINES.splitlines())
         self.assertEqual(
             [
@@ -39,7 +39,7 @@
             explain.render(found[-1], found[0].at),
         )
 
-    def test_a_process_that_was_killed_started_again(self):
+    def test_restart_of_a_killed_process_is_shown(self):
         """An entry loses power with a request in flight, and logs nothing.
 
         Without its next start, the timeline would end with the placement and
--- a/packages/burdockchute/tests/test_log_client.py
+++ b/packages/burdockchute/tests/test_log_client.py
@@ -100,14 +100,14 @@
                     read_error, client.read('table', 0, 1, 0).failure()
                 )
 
-    def test_rate_limit_says_when_to_come_back(self):
+    def test_rate_limit_has_retry_after(self):
         url = self.serve('429 Slow', {}, ('Retry-After', '0.5'))
         self.assertEqual(
             log.RateLimited(0.5),
             self.client(url).append('table', 'x').failure(),
         )
 
-    def test_append_that_never_reached_the_service_is_sure(self):
+    def test_append_without_a_connection_is_unavailable(self):
         refusing = server.StreamServer(('127.0.0.1', 0), print)
         refusing.start()
         url = f'http://127.0.0.1:{refusing.server_port}'
--- a/packages/burdockchute/tests/test_losses.py
+++ b/packages/burdockchute/tests/test_losses.py
@@ -38,7 +38,7 @@
 
 
 class LossesTest(unittest.TestCase):
-    def test_reasons_are_counted_by_span(self):
+    def test_reasons_are_counted_by_window(self):
         """Many requests fail for the same reason within two seconds.
 
         The text of each refusal has its own wait; if the texts were compared
@@ -56,7 +56,7 @@
         self.assertEqual((6.0, 1, 0, None), last[:4])
         self.assertEqual([('no route for NAME NAME', 1)], last.reasons)
 
-    def test_the_table_has_a_row_for_each_span(self):
+    def test_the_table_has_a_row_for_each_window(self):
         table = losses.render(losses.losses(LINES, 2.0)).splitlines()
         self.assertEqual(3, len(table))
         self.assertIn('2 not-run: no place came free in N s; 1 s', table[1])
@@ -64,7 +64,7 @@
     def test_logs_without_requests_give_nothing(self):
         self.assertEqual([], losses.losses(['x', 'event=request_x'], 2.0))
 
-    def test_a_span_is_longer_than_nothing(self):
+    def test_window_must_be_positive(self):
         for text in ('0', '-1', 'x', 'inf', 'nan'):
             with (
                 self.subTest(text=text),
--- a/packages/burdockchute/tests/test_snapshots.py
+++ b/packages/burdockchute/tests/test_snapshots.py
@@ -114,7 +114,7 @@
         self.table, found = reducer.apply_record(self.table, offset, text)
         self.assertEqual([], found)
 
-    def test_whole_stream(self):
+    def test_load_without_a_snapshot(self):
         self.edit(1200)
         loaded = table_log.load(self.log).unwrap()
         self.assertEqual(self.table, loaded.table)
@@ -145,7 +145,7 @@
         self.log.trim('table', 10)
         self.assertEqual(self.table, table_log.load(self.log).unwrap().table)
 
-    def test_snapshot_of_a_paused_writer_is_passed_over(self):
+    def test_snapshot_of_a_paused_writer_is_skipped(self):
         # Records after it have been trimmed since it was made, so a reader
         # that started from it would lack their rows.
         self.edit(5)
@@ -169,7 +169,7 @@
         self.assertEqual(self.table, loaded.table)
         self.assertEqual(4, loaded.snapshot_as_of)
 
-    def test_broken_snapshot_is_passed_over(self):
+    def test_invalid_snapshot_is_skipped(self):
         self.edit(5)
         text = tables.snapshot(self.table)
         self.append(text)
@@ -177,7 +177,7 @@
         loaded = table_log.load(self.log).unwrap()
         self.assertEqual(self.table.rows, loaded.table.rows)
 
-    def test_everything_needed_is_gone(self):
+    def test_load_fails_without_a_usable_snapshot(self):
         # No entry could write a snapshot within the retention of the log. A
         # table from the remaining records would lack rows.
         self.edit(5)
--- a/packages/burdockchute/tests/test_table_commands.py
+++ b/packages/burdockchute/tests/test_table_commands.py
@@ -116,7 +116,7 @@
         self.assertEqual(2, status)
         self.assertIn("model/story:version: '1' already names digest", err)
 
-    def test_row_that_others_name_can_not_be_removed(self):
+    def test_referenced_row_can_not_be_removed(self):
         self.add_story()
         self.run_table(
             'set', 'adapter/rhymes', 'version=1', STORY, 'base=story'
@@ -130,7 +130,7 @@
         self.assertEqual(0, status)
         self.assertEqual({}, dict(self.table().rows))
 
-    def test_of_two_operators_the_second_is_told_the_present_row(self):
+    def test_second_of_two_operators_sees_the_current_row(self):
         # A colleague saves the same row between our read and our append. Our
         # edit would silently undo the colleague's change.
         self.add_story()
@@ -212,7 +212,7 @@
         self.assertEqual(1, status)
         self.assertIn('no table: the log said Unavailable', err)
 
-    def test_outage_after_the_append_is_not_called_saved_or_not(self):
+    def test_outage_after_the_append_leaves_the_outcome_unknown(self):
         self.add_story()
         append = self.log.append
 
@@ -228,7 +228,7 @@
         self.assertEqual(1, status)
         self.assertIn('it is not known whether this was saved', err)
 
-    def test_asks_a_person_and_no_one_else(self):
+    def test_asks_only_at_a_terminal(self):
         words = ('set', 'service/proofs', 'slots=2')
         for answer, saved in (('', 0), ('n\n', 0), ('y\n', 1)):
             status, out, _err = self.run_table(*words, stdin=Terminal(answer))
@@ -288,7 +288,7 @@
         self.assertIn('changed since revision 0; the present row: ', err)
         self.assertIn('replicas=5', err)
 
-    def test_import_is_checked_whole(self):
+    def test_import_is_validated_as_a_whole(self):
         path = self.write_file(
             'kind,name,base,version,digest,slots\n'
             'service,proofs,,,,4\n'
--- a/packages/burdockchute/tests/upstreams/test_calls.py
+++ b/packages/burdockchute/tests/upstreams/test_calls.py
@@ -30,7 +30,7 @@
         self.addCleanup(reply.close)
         return reply
 
-    def test_call_broken_off_is_not_sent_again(self):
+    def test_interrupted_call_is_not_resent(self):
         # A service runs a PUT that is marked as non-idempotent, and crashes
         # before it answers. The HTTP library treats every PUT as idempotent
         # and would resend it, so that it would run twice.
@@ -51,7 +51,7 @@
         with self.assertRaises(calls.NotConnected):
             self.send(f'http://127.0.0.1:{port}')
 
-    def test_short_body_is_broken(self):
+    def test_short_body_fails(self):
         # The upstream crashes in the middle of its answer. If the part that
         # arrived were forwarded, the caller would take it for complete.
         reply = self.send(
@@ -60,7 +60,7 @@
         with self.assertRaises(calls.AnswerFailed):
             calls.read_body(reply, 100)
 
-    def test_silence_is_broken_but_no_crash(self):
+    def test_silence_fails_without_a_crash(self):
         # The upstream stops sending and keeps the connection open.
         held: list[socket.socket] = []
         listening = socket.create_server(('127.0.0.1', 0))
@@ -71,7 +71,7 @@
             self.send(url)
         self.assertFalse(caught.exception.crashed)
 
-    def test_events_come_one_by_one(self):
+    def test_events_are_returned_one_by_one(self):
         reply = self.send(
             self.serve(
                 b'HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\n'
--- a/packages/burdockchute/tests/upstreams/test_connections.py
+++ b/packages/burdockchute/tests/upstreams/test_connections.py
@@ -60,7 +60,7 @@
         self.assertTrue(conn.is_reusable)
         self.assertEqual((200, b'ok'), self.exchange(conn, '2'))
 
-    def test_parts_come_as_they_are_sent(self):
+    def test_parts_are_returned_as_they_arrive(self):
         conn = self.connect([CHUNKED, b'1\r\na\r\n', b'1\r\nb\r\n0\r\n\r\n'])
         conn.send(REQUEST, 'GET', is_answer_to('1'))
         conn.read_head()
@@ -73,7 +73,7 @@
             ],
         )
 
-    def test_an_answer_that_breaks_off_is_broken(self):
+    def test_incomplete_answer_fails(self):
         for sent in (
             [],
             [b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc'],
@@ -85,7 +85,7 @@
                     self.exchange(conn)
                 self.assertTrue(caught.exception.closed_by_upstream)
 
-    def test_bytes_that_are_no_answer_are_broken(self):
+    def test_invalid_answer_fails(self):
         conn = self.connect([b'hello there\r\n\r\n'])
         with self.assertRaises(AnswerFailed) as caught:
             self.exchange(conn)
@@ -96,7 +96,7 @@
         self.assertEqual((200, b'abcd'), self.exchange(conn))
         self.assertFalse(conn.is_reusable)
 
-    def test_an_answer_without_length_that_is_reset_is_broken(self):
+    def test_answer_without_length_that_is_reset_fails(self):
         """A server crashes within an answer that ends with its connection.
 
         Only the reset distinguishes it from a complete one.
@@ -118,7 +118,7 @@
         with self.assertRaises(AnswerFailed):
             self.exchange(conn)
 
-    def test_what_follows_an_answer_spoils_the_connection(self):
+    def test_extra_bytes_prevent_reuse(self):
         for extra in (b'x', ANSWER % b'1'):
             with self.subTest(extra=extra):
                 conn = self.connect([ANSWER % b'1' + extra])
@@ -135,7 +135,7 @@
                 self.assertEqual((200, b'ok'), self.exchange(conn, '1'))
                 self.assertTrue(conn.is_reusable)
 
-    def test_only_an_answer_to_another_request_is_broken(self):
+    def test_only_an_answer_to_another_request_fails(self):
         conn = self.connect([ANSWER % b'0'])
         with self.assertRaises(AnswerFailed):
             self.exchange(conn, '1')
@@ -144,7 +144,7 @@
         conn = self.connect([b'HTTP/1.1 100 Continue\r\n\r\n' + ANSWER % b'1'])
         self.assertEqual((200, b'ok'), self.exchange(conn))
 
-    def test_waiting_may_go_on(self):
+    def test_wait_can_be_continued(self):
         conn = self.connect([ANSWER % b'1'])
         conn._sock.settimeout(0.001)
         conn.send(REQUEST, 'GET', is_answer_to('1'))
@@ -163,7 +163,7 @@
         gevent.sleep(0.05)
         self.assertFalse(conn.is_quiet())
 
-    def test_nobody_at_the_address(self):
+    def test_connection_is_refused(self):
         sock = socket.socket()
         sock.bind(('127.0.0.1', 0))
         self.addCleanup(sock.close)
--- a/packages/burdockchute/tests/upstreams/test_events.py
+++ b/packages/burdockchute/tests/upstreams/test_events.py
@@ -15,7 +15,7 @@
 
 class EventsTest(unittest.TestCase):
     @given(st.lists(st.integers(0, len(STREAM)), max_size=6))
-    def test_cuts_alike_however_the_bytes_come(self, places):
+    def test_events_do_not_depend_on_the_pieces(self, places):
         """The network delivers a stream in pieces of any size.
 
         An event that is forwarded before it is complete can't be taken back
--- a/packages/burdockchute/tests/upstreams/test_gate.py
+++ b/packages/burdockchute/tests/upstreams/test_gate.py
@@ -19,14 +19,14 @@
         self.gate = Gate()
         self.gate.open(OLD)
 
-    def test_only_the_open_digest_is_let_in(self):
+    def test_only_the_open_digest_is_admitted(self):
         self.assertIsNone(self.gate.enter('story', 'old', ''))
         refused = self.gate.enter('story', 'new', '')
         self.assertEqual(
             Refusal("model 'story' is not open at 'new'"), refused
         )
 
-    def test_switch_sees_requests_inside(self):
+    def test_closed_gate_counts_requests_in_flight(self):
         # The row names a new version while a request runs. If the old weights
         # were unloaded now, the answer would end with other weights or not at
         # all.
@@ -37,7 +37,7 @@
         self.gate.leave('story', 'old', '')
         self.assertEqual([], self.gate.states())
 
-    def test_adapter_request_is_inside_both_gates(self):
+    def test_adapter_request_enters_both_gates(self):
         # The base model of an adapter is switched while a request runs on it.
         # The answer names both digests, and neither may change meanwhile.
         self.gate.open(RHYMES, 'story')
@@ -53,7 +53,7 @@
         self.assertEqual(0, self.gate.in_flight(OLD))
         self.assertEqual(1, self.gate.in_flight(RHYMES))
 
-    def test_adapter_moves_to_another_base_under_a_request(self):
+    def test_base_of_an_adapter_changes_during_a_request(self):
         # An operator changes the base model of an adapter while a request to
         # it runs. If the request left the gate of the new base, it would stay
         # counted in that of the old one, whose version could then never be
@@ -86,7 +86,7 @@
         self.assertIsNotNone(self.gate.enter('rhymes', 'old', ''))
         self.assertIsNotNone(self.gate.enter('story', 'old', 'ad'))
 
-    def test_doubt_shuts_both_gates_once(self):
+    def test_mismatch_closes_both_gates_once(self):
         self.gate.open(RHYMES, 'story')
         self.gate.mark_mismatched('rhymes', 'old', 'ad')
         self.assertFalse(self.gate.is_open(OLD))
--- a/packages/burdockchute/tests/weights/test_manifest.py
+++ b/packages/burdockchute/tests/weights/test_manifest.py
@@ -56,7 +56,7 @@
     def setUp(self) -> None:
         self.copy = copies.Copy(MANIFEST)
 
-    def test_whole_copy_gives_the_content(self):
+    def test_complete_copy_returns_the_content(self):
         for index in (2, 0, 1):
             start, end = manifests.chunk_range(MANIFEST, index)
             self.assertTrue(self.copy.add(index, CONTENT[start:end]))
@@ -70,7 +70,7 @@
         self.assertFalse(self.copy.add(7, b''))
         self.assertEqual((0, 0), (self.copy.held_count, self.copy.held_bytes))
 
-    def test_part_of_a_copy_gives_no_content(self):
+    def test_incomplete_copy_returns_no_content(self):
         self.copy.add(0, CONTENT[:4])
         with self.assertRaisesRegex(ValueError, 'is not whole'):
             self.copy.content()
