--- a/packages/burdockchute/burdockchute/decisions/subset.py
+++ b/packages/burdockchute/burdockchute/decisions/subset.py
@@ -9,22 +9,13 @@
 So each agent is assigned LOCAL_ENTRIES entries of its own region, in as many
 zones as possible, and REMOTE_ENTRIES of another region. They are the first of
 a rendezvous hash order of the names, which every entry computes alike without
-coordination, so that every agent has exactly this name_hash of links. In
-addition an entry links to hosts of each model or service until it has
-MIN_HOSTS of them, first those in its own region, since the hosts of a small
-model would otherwise be known to few entries only.
+coordination, so that every agent has exactly this number of links. In addition
+an entry links to hosts of each model or service until it has MIN_HOSTS of
+them, first those in its own region.
 
 Local and remote entries are ranked separately, so that two regions that lose
 contact keep all their internal links, and return to the same links once they
-are connected again. With up to FULL_MESH_AGENTS agents an entry links to all
-of them: at today's sizes the fewest hops are worth more than the few links
-saved.
-
-Three local entries: with two, the loss of a rack with one of them would leave
-an agent with a single entry, and that one may be stale. One remote entry: an
-agent whose region has lost the log still receives edits from there. More
-entries would only add to the load reports, which are sent on every link each
-second.
+are connected again.
 """
 
 from __future__ import annotations
@@ -47,9 +38,19 @@
 from burdockchute.model.table import services
 from burdockchute.model.table import Table
 
+# With two, the loss of a rack with one of them would leave an agent with a
+# single entry, and that one may be stale. More would only add to the load
+# reports, which are sent on every link each second.
 LOCAL_ENTRIES = 3
+
+# An agent whose region has lost the log still receives edits from there.
 REMOTE_ENTRIES = 1
+
+# Without a minimum, few entries would link to the hosts of a small model.
 MIN_HOSTS = 3
+
+# With up to this many agents an entry links to all of them: at today's sizes
+# the fewest hops are worth more than the few links saved.
 FULL_MESH_AGENTS = 128
 
 _MASK = 2**64 - 1
