--- a/packages/burdockchute/burdockchute/decisions/engine_placement.py
+++ b/packages/burdockchute/burdockchute/decisions/engine_placement.py
@@ -1,12 +1,12 @@
-"""On which engine a generation starts soonest, and when it should not start.
+"""On which engine a generation starts soonest, and when it waits instead.
 
 Engines process prompts between the tokens that they generate. Each prompt
 takes about fifty milliseconds of the whole engine, so a handful that arrive
 together delay each other's first token past the objective although half of the
 slots are free. This happens whenever every entry sees one engine less loaded
 than the others at the same time: when it has just loaded a version, restarted
-after a crash or joined. By free slots alone it would get a dozen prompts at
-the same instant.
+after a crash or joined. Chosen by its free slots alone, it would get a dozen
+prompts at the same instant.
 
 So the time to the first token is estimated from what an entry knows: the
 prompts that it has sent there and that have not started, the requests of other
@@ -26,9 +26,9 @@
 An overdue request takes any slot that is left over. With a batch of sixteen, a
 step takes only 4 in 100 longer than with a single request, so an empty slot
 gains the others nothing and is lost: the request that would have had it waits,
-and the next ones wait behind it. Keeping three of ten slots free of overdue
-requests left a third of all answers late at a load of 1.1 times what six
-engines carry; it is a fifth without (single runs).
+and the next ones wait behind it. At a load of 1.1 times what six engines
+carry, a fifth of all answers is late this way, and a third if three of ten
+slots are kept free of overdue requests.
 """
 
 from __future__ import annotations
@@ -39,36 +39,36 @@
 
 from burdockchute.model.routes import EngineCost
 
-# Share of the other entries' requests that are taken to wait for their first
+# Share of the other entries' requests that is assumed to wait for the first
 # token: at the usual lengths, an engine spends about a sixth of a request's
 # time on its prompt.
 OTHERS_PREFILL_SHARE = 0.17
 
-# Prompt tokens that one pass of the batch processes at most.
+# Maximum number of prompt tokens that one pass of the batch processes.
 PASS_TOKENS = 2048
 
 # Share of the objective that the estimate may take; the rest is for the round
 # trip to the engine. A larger reserve for errors of the estimate leaves slots
 # empty: with full engines, three in a hundred more answers were late at 0.75
-# than at 0.95, and two in a hundred more at 1.3 (single runs).
+# than at 0.95, and two in a hundred more at 1.3.
 OBJECTIVE_SHARE = 0.95
 
 
 # Extra time to the first token that is accepted to keep a long answer off an
 # engine that is about to load.
 CLOSING_COST_S = 0.2
-# An answer may outlast the closing by this.
+# Time by which an answer may outlast the closing of its engine.
 CLOSING_TOLERANCE_S = 0.1
 
 # Announced answer lengths are right only at the median; one answer in five is
-# longer than this multiple.
+# longer than this multiple of its announced length.
 LENGTH_SPREAD = 1.5
 
 # Traffic between regions is expensive and shares its links with copies, so a
 # local engine is chosen among those that start nearly as soon.
 REMOTE_COST_S = 0.05
 
-# Number of engines that are sampled for a request.
+# Number of local and of remote engines that are sampled for a request.
 LOCAL_SAMPLE = 2
 REMOTE_SAMPLE = 1
 
@@ -87,14 +87,14 @@
 class EngineView(NamedTuple):
     """What an entry knows of one engine.
 
-    `ours` and `others` are the requests there, `unread_tokens` the prompt
-    tokens of our requests that have not started. `headroom` is how many more
-    requests the window and the slots allow, `share` how many of these may be
-    new requests of this entry, None for all. `unreported` are requests that
-    the other entries have probably sent since the last report. `slowness` is 1
-    for an engine of the usual speed. `closes_in_s` is the time until it
-    accepts nothing new, None if it does not close. `is_remote` is set for an
-    engine in another region.
+    `ours` are this entry's requests there and `others` those of the other
+    entries; `unread_tokens` are the prompt tokens of ours that have not
+    started. `headroom` is how many more requests the window and the slots
+    allow, `share` how many of these may be new requests of this entry, None
+    for all. `unreported` are requests that the other entries have probably
+    sent since the last report. `slowness` is 1 for an engine of the usual
+    speed. `closes_in_s` is the time until it accepts nothing new, None if it
+    does not close. `is_remote` is set for an engine in another region.
     """
 
     name: str
@@ -202,7 +202,7 @@
     reserve: float = 0.0,
     started: bool = False,
 ) -> EngineView | None:
-    """Return the engine where a request starts soonest, None for none now.
+    """Return the engine where a request starts soonest, None if it waits.
 
     `left_s` is what is left of the objective, None for an overdue request,
     which takes any free slot beyond `reserve`, a share of all slots. `started`
@@ -224,7 +224,7 @@
     if left_s is None:
         return best
     expected_s = first_token_s(best, size.prompt_tokens, cost)
-    # A long prompt may take longer than that even on an idle engine; waiting
+    # A long prompt may exceed the objective even on an idle engine; waiting
     # would not make it any faster.
     alone = EngineView(best.name, 0, 0, best.slots, 1, 0, 0, best.slowness)
     alone_s = first_token_s(alone, size.prompt_tokens, cost)
--- a/packages/burdockchute/burdockchute/decisions/placement.py
+++ b/packages/burdockchute/burdockchute/decisions/placement.py
@@ -16,19 +16,16 @@
 rendezvous order of the prompt's first block. The home is preferred even to a
 warm instance: entries that know nothing of each other's requests then send
 prompts that start alike to the same cache, and each cache holds its part of
-all prompts instead of a little of everything. A block that is computed
-elsewhere also evicts another one there, hence HOME_PREFERENCE is above one.
+all prompts instead of a little of everything.
 
 The expected time is the service time at the instance's own measured speed,
 plus the wait for a slot, plus the prefill that its cache does not save. So a
 warm instance wins unless its queue costs more than the saved prefill.
 
 An instance may hold QUEUE_SHARE more requests than its slots; all others wait
-at the entry, where they can be ordered. Its window starts at half of its slots
-and grows by one with each answer, so that it is fully open after one service
-time: a new instance has a cold cache, and one that recovers from a fault would
-otherwise get a full load at once. A failure halves the window, which takes
-load off a faulty instance within two failures while one probe always remains.
+at the entry, where they can be ordered. Each entry also limits its own
+requests there to a window, which grows by one with each answer and is halved
+by a failure.
 """
 
 from __future__ import annotations
@@ -42,14 +39,21 @@
 from burdockchute.decisions import hosting
 
 # Hides the round trip between the end of one request and the start of the
-# next. At a quarter, a quiet customer's 95th percentile beside a flood was
-# 2.25 times its quiet value (trial of make bench-load), as its requests waited
+# next. At a quarter, the 95th percentile of a quiet customer was 2.25 times as
+# high during the flood of another one as without it, since its requests waited
 # in the queues of the engines.
 QUEUE_SHARE = 0.05
-# A full batch is taken to be slower than an empty one by this: enough to
-# prefer the emptier of two instances, too little to outweigh a warm cache.
+# Share by which a full batch is assumed to be slower than an empty one: enough
+# to prefer the emptier of two instances, too little to outweigh a warm cache.
 FULL_BATCH_COST = 0.1
+
+# Share of the slots with which the window starts; it is fully open after one
+# service time. A new instance has a cold cache, and one that recovers from a
+# fault would otherwise get a full load at once.
 INITIAL_WINDOW_SHARE = 0.5
+
+# Halving takes load off a faulty instance within two failures, while one probe
+# always remains.
 MIN_WINDOW = 1.0
 MIN_INITIAL_WINDOW = 2.0
 # Weight of the newest answer in the measured speed.
@@ -58,7 +62,11 @@
 # this time; otherwise a slow instance that gets nothing any more would count
 # as slow forever.
 SPEED_HALF_LIFE_S = 3.0
+
+# Factor on the tokens that the home is assumed to have cached. It is above
+# one, as a block that is computed elsewhere also evicts another one there.
 HOME_PREFERENCE = 1.5
+
 BLOCK_TOKENS = 64
 
 # Characters of a prefix digest that instances report. Two prefixes that agree
--- a/packages/burdockchute/burdockchute/decisions/wait_limits.py
+++ b/packages/burdockchute/burdockchute/decisions/wait_limits.py
@@ -1,6 +1,6 @@
 """How long a request may wait at an entry for a slot.
 
-For a second or for many there are more requests than the engines can take.
+For a second or for many, requests may exceed what the engines can take.
 With one queue for all, it grows until every request waits for most of its
 deadline: all answers are late, though the engines work all the time. If the
 queue refuses every request that would have to wait, a burst of a second turns
@@ -12,7 +12,7 @@
 for at most OVERDUE_WAIT_SHARE of the time that its caller has left, and never
 longer than MAX_OVERDUE_OBJECTIVES times the objective from its arrival on. A
 request that would wait longer, judged by the work ahead of it, is refused on
-arrival and told when to retry. The slots left for overdue requests are
+arrival with a retry delay. The slots left for overdue requests are
 estimated from the slots they got recently: when requests on time take every
 slot, almost none is queued as overdue, and the others need not wait for a
 refusal.
@@ -23,17 +23,10 @@
 time to wait for it. If they were refused for a second at a time, each would
 retry once, be refused again and be lost. So as many wait as the engines can
 take when they open, each for as long as leaves the time for its answer, and
-the others are told when to retry (`opening_wait_s`).
+the others are refused with a retry delay (`opening_wait_s`).
 
 The remainder of a started stream comes before all of these and waits for as
 long as its caller does, unless no engine holds its weights any more.
-
-Overdue requests that wait for long keep every engine full after a shortage is
-over, and the requests on time wait behind them until they are overdue as well:
-with waits of up to 2 s, a site that carries 1.3 times its load took 4, 8 and 4
-s in three runs to be on time again after a loss of power; with
-MAX_OVERDUE_OBJECTIVES it took 4 s in each. With shorter waits, callers are
-refused that the next half second could have served.
 """
 
 from __future__ import annotations
@@ -44,16 +37,24 @@
 # starts an answer within about half of it.
 ON_TIME_WAIT_SHARE = 0.5
 OVERDUE_WAIT_SHARE = 0.4
+
+# Overdue requests that wait for long keep every engine full after a shortage
+# is over, and the requests on time wait behind them until they are overdue as
+# well: with waits of up to 2 s, a site that carries 1.3 times its load was on
+# time again 4, 8 and 4 s after three losses of power, with this limit 4 s
+# after each. With shorter waits, callers are refused that the next half second
+# could have served.
 MAX_OVERDUE_OBJECTIVES = 1.5
 # An objective may be shorter than the time until a slot becomes free.
 MIN_OVERDUE_WAIT_S = 0.25
-# The slots that overdue requests got in this time tell how many more may wait.
+# As many overdue requests may wait as got a slot in this time.
 RECENT_WINDOW_S = 0.6
 # Overdue requests that may wait though none got a slot recently, or nothing
 # would show that there are free slots again.
 MIN_OVERDUE_WAITING = 2
 
-# Engines open one after the other, and the estimate of when is off by as much.
+# Engines open one after the other, and the estimated time of the opening may
+# be wrong by as much.
 OPENING_GRACE_S = 0.6
 
 # An upstream that rejected the remainder of a stream is tried again after this
@@ -69,7 +70,7 @@
 # this time.
 RESUME_START_LIMIT_S = 1.2
 
-# Wait for requests of a route without an objective.
+# Longest wait on a route without an objective.
 DEFAULT_WAIT_S = 1.0
 
 
