--- a/packages/burdockchute/burdockchute/decisions/health.py
+++ b/packages/burdockchute/burdockchute/decisions/health.py
@@ -5,15 +5,10 @@
 for a connection that is not accepted, or is lost. The entry notices it by
 connections that are refused, reset or silent.
 
-After a failure an upstream is blocked for MIN_BLOCK_S, twice as long after
-each further failure up to MAX_BLOCK_S, and one answer clears the block. The
-first block is shorter than the time in which a healthy upstream gets a handful
-of requests, so that a single stray reset costs little. The longest is shorter
-than the restart of an instance, so that one that is back is found soon.
-
+After a failure an upstream is blocked for MIN_BLOCK_S. The time doubles with
+each further failure up to MAX_BLOCK_S, and one answer clears the block.
 An upstream with requests under way that has sent no byte for SILENT_S counts
-as unresponsive: a batch of streams brings an event every few dozen
-milliseconds, and callers time out on a stream that pauses for two seconds.
+as unresponsive.
 
 An engine behind a slow link is not silent, as its streams still trickle. But
 new requests queue in the link for seconds, and since its reports are late as
@@ -21,8 +16,7 @@
 time out before their requests have arrived, and the engine then works on
 requests whose callers have left. So an engine on which a request of this entry
 has not started for START_TIMEOUT_S gets nothing new until that request has
-started or ended. Of 2,170 requests of a calm day, 99 in 100 started within 0.9
-s.
+started or ended.
 
 When such a request ends without having started, as its caller left or it was
 sent elsewhere, the engine looks even less loaded, and a dozen requests would
@@ -35,11 +29,21 @@
 from collections.abc import Collection
 from typing import NamedTuple
 
+# Shorter than the time in which a healthy upstream gets a handful of requests,
+# so that a single stray reset costs little.
 MIN_BLOCK_S = 0.2
+
+# Shorter than the restart of an instance, so that its return is noticed soon.
 MAX_BLOCK_S = 1.6
+
+# A batch of streams brings an event every few dozen milliseconds, and callers
+# time out on a stream that pauses for two seconds.
 SILENT_S = 1.2
+
+# Of 2,170 requests on a day without faults, 99 in 100 started within 0.9 s.
 START_TIMEOUT_S = 1.0
-# Each probe is a request that may be lost, so use the fewest that can tell.
+
+# Each probe is a request that may be lost, so there is one at a time.
 MAX_PROBES = 1
 
 
--- a/packages/burdockchute/burdockchute/decisions/limits.py
+++ b/packages/burdockchute/burdockchute/decisions/limits.py
@@ -12,10 +12,6 @@
 entries, as headroom for the next second. Without a new share, an entry returns
 to the even part of the limit.
 
-A share is valid for SHARE_VALID_S, three reports, so that one lost message
-changes nothing, and then fades to the even part within SHARE_FADE_S, so that
-the rate does not jump.
-
 The shares that are assigned add up to the limit. Entries that have not
 reported have at most an even part each, so all entries together stay below
 twice the limit for the second until the next report, and for SHARE_VALID_S
@@ -32,7 +28,11 @@
 
 from burdockchute.decisions.admission import RateLimit
 
+# Three reports, so that one lost message changes nothing.
 SHARE_VALID_S = 3.0
+
+# After that a share changes to the even part within this time, so that the
+# rate does not jump.
 SHARE_FADE_S = 3.0
 
 
--- a/packages/burdockchute/burdockchute/decisions/membership.py
+++ b/packages/burdockchute/burdockchute/decisions/membership.py
@@ -15,10 +15,7 @@
 at once, as within seconds no new work may go to a leaving instance.
 
 A list that suddenly lacks more than SHRINK_SHARE of the members is applied
-only once it has done so for SHRINK_CONFIRM_S: after a restart of the list
-service it is empty or short for a while, and every entry would drop its
-links in the same second. A lost zone is one in fourteen members and a lost
-region one in four, so neither has to wait.
+only after it has lacked them for SHRINK_CONFIRM_S.
 """
 
 from __future__ import annotations
@@ -29,7 +26,12 @@
 
 from burdockchute.model.members import Member
 
+# A lost zone is one in fourteen members and a lost region one in four, so the
+# loss of either is applied at once.
 SHRINK_SHARE = 0.5
+
+# After a restart of the list service the list is empty or short for a while,
+# and every entry would drop its links in the same second.
 SHRINK_CONFIRM_S = 30.0
 
 # The list can only be read completely, at about this many bytes for each
--- a/packages/burdockchute/burdockchute/decisions/neighbours.py
+++ b/packages/burdockchute/burdockchute/decisions/neighbours.py
@@ -6,12 +6,8 @@
 of others, most of them near. They are chosen by a rendezvous hash of the
 pair: it needs no coordinator, does not change while others are added or
 removed, and gives a random graph, whose diameter grows with the logarithm of
-its size.
-
-ZONE_PEERS and REGION_PEERS keep copying inside zone and region, REMOTE_PEERS
-connect the regions. On average an agent is dialled by as many peers as it
-dials, so it has about 16 links. With REMOTE_PEERS under 2 a few small zones
-could be disconnected from the others.
+its size. On average an agent is dialled by as many peers as it dials, so it
+has about 16 links.
 """
 
 from __future__ import annotations
@@ -23,8 +19,12 @@
 from burdockchute.model.members import Member
 from burdockchute.model.members import Place
 
+# Peers in the own zone and in the own region keep copying inside them.
 ZONE_PEERS = 4
 REGION_PEERS = 2
+
+# Peers in other regions connect the regions. With fewer, a few small zones
+# could be disconnected from the others.
 REMOTE_PEERS = 2
 
 SAME_ZONE = 0
--- a/packages/burdockchute/burdockchute/decisions/retries.py
+++ b/packages/burdockchute/burdockchute/decisions/retries.py
@@ -4,33 +4,36 @@
 request is sent again, the remaining instances get two or three times the load
 and fail as well, and the outage lasts until the callers time out.
 
-First attempts earn EARNED_PER_REQUEST retries each, so that together with the
-balance that is spent first, load grows by less than a tenth in an outage that
-lasts longer than a few seconds. A balance of at most `burst`, by default
-DEFAULT_BURST, pays for the other requests on a crashed instance, which fail
-all at once. A site with little traffic earns one retry for each
-REFILL_INTERVAL_S, or its balance would never recover. A request that an agent
-certainly did not run has cost no upstream anything and needs no retry from the
-budget; MAX_PLACEMENTS bounds its attempts in a pool where no instance accepts
-it.
-
-The last retry is reserved for started streams: a crash breaks off streams and
-fails new requests at the same moment, and the new requests that retry first
-would take every retry.
+So each retry is taken from a balance, which first attempts and time refill. A
+request that an agent certainly did not run has cost no upstream anything and
+takes no retry from the balance.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
+# Retries earned by a first attempt. Together with the balance that is spent
+# first, they increase the load by less than a tenth in an outage that lasts
+# longer than a few seconds.
 EARNED_PER_REQUEST = 0.05
+
+# The maximum balance pays for the other requests on a crashed instance, which
+# fail all at once.
 DEFAULT_BURST = 4.0
+
+# Time that refills one retry. With little traffic the balance would not
+# recover by first attempts alone.
 REFILL_INTERVAL_S = 10.0
 
-# Retries reserved for started streams.
+# Retries reserved for started streams: a crash breaks off streams and fails
+# new requests at the same moment, and the new requests that retry first would
+# take every retry.
 MAX_RESERVED = 1.0
 
 MAX_ATTEMPTS = 3
+
+# Bounds the attempts of a request in a pool where no instance accepts it.
 MAX_PLACEMENTS = 8
 
 # How often the remainder of a stream may be rejected. Each rejection takes a
@@ -125,7 +128,7 @@
 def next_retry_in_s(
     budget: Budget, now: float, policy: BudgetPolicy, reserved: float = 0.0
 ) -> float:
-    """Return when the refill alone brings a retry beyond what is reserved.
+    """Return the seconds until time alone refills a retry beyond `reserved`.
 
     >>> policy = BudgetPolicy(refill_interval_s=2.0)
     >>> next_retry_in_s(Budget(0.5, 0.0), 0.0, policy)
--- a/packages/burdockchute/burdockchute/decisions/suspects.py
+++ b/packages/burdockchute/burdockchute/decisions/suspects.py
@@ -13,17 +13,6 @@
 two entries did not know of each other's suspects, only the third crash
 convicts it. A closed link is not a crash: networks fail far more often than
 upstreams.
-
-CRASHES_TO_CONVICT is two, since the first crash has as many suspects as the
-instance had requests, and each further crash costs a reload of weights.
-REFUSE_S is longer than a person or a job with backoff keeps resending, and
-lets an upgraded engine take the request later in the same hour. A crash is
-remembered for RECORD_TTL_S; crashes further apart than that hardly have the
-same cause. Requests that one upstream loses within ONE_CRASH_S belong to one
-crash: the upstream takes longer than that to restart. A request is convicted
-once it has crashed OUTAGE_UPSTREAMS; if more upstreams than that crash within
-OUTAGE_S, there is another cause, and a request that was retried meanwhile is
-not to blame.
 """
 
 from __future__ import annotations
@@ -32,12 +21,26 @@
 
 from burdockchute.model.crash_reports import PeerCrashReport
 
+# The first crash has as many suspects as the instance had requests, and each
+# further crash costs a reload of weights.
 CRASHES_TO_CONVICT = 2
 SHARED_CRASHES_TO_CONVICT = 3
+
+# Requests that one upstream loses within this time belong to one crash: the
+# upstream takes longer to restart.
 ONE_CRASH_S = 1.0
+
+# A request is convicted once it has crashed OUTAGE_UPSTREAMS. If more
+# upstreams than that crash within OUTAGE_S, there is another cause, and a
+# request that was retried meanwhile is not to blame.
 OUTAGE_S = 10.0
 OUTAGE_UPSTREAMS = 2
+
+# Longer than a person or a job with backoff keeps resending, and short enough
+# for an upgraded engine to get the request later in the same hour.
 REFUSE_S = 600.0
+
+# Crashes further apart than this hardly have the same cause.
 RECORD_TTL_S = 3600.0
 
 
