--- a/packages/burdockchute/burdockchute/decisions/admission.py
+++ b/packages/burdockchute/burdockchute/decisions/admission.py
@@ -31,7 +31,7 @@
 # count as well.
 REQUEST_WEIGHT = 1.0
 
-# Bounds of the delay that a refused caller is told: less would be a busy loop,
+# Bounds of the retry delay for a refused caller: less would be a busy loop,
 # and most bursts end within a minute.
 MIN_RETRY_AFTER_S = 0.1
 MAX_RETRY_AFTER_S = 60.0
@@ -105,7 +105,7 @@
 
 
 def retry_after_s(seconds: float) -> float:
-    """Return the delay to tell a refused caller, within bounds."""
+    """Return the retry delay for a refused caller, within bounds."""
     return min(max(seconds, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
 
 
--- a/packages/burdockchute/burdockchute/decisions/claims.py
+++ b/packages/burdockchute/burdockchute/decisions/claims.py
@@ -15,7 +15,7 @@
 
 A key is valid for WINDOW_S from the time of issue that it carries, long
 enough for a person or a job with backoff to retry. Older keys are refused,
-since it can't be told any more whether their request has run. The clocks of
+since it is no longer known whether their request has run. The clocks of
 two entries may differ by SKEW_S, so keys are remembered for the window plus
 twice that. The log has to retain its records for longer than KEEP_S.
 """
--- a/packages/burdockchute/burdockchute/decisions/copy_rates.py
+++ b/packages/burdockchute/burdockchute/decisions/copy_rates.py
@@ -2,8 +2,8 @@
 
 New weights arrive on hundreds of instances while these answer requests over
 the same links. A copy without a limit fills the queues of the link, and each
-token of a live answer then waits behind megabytes. So the rate of copies is
-capped below the link's, and the cap sinks by what live requests use.
+token of a live answer then waits behind megabytes. So the rate of all copies
+is limited below that of the link, and further by what live requests use.
 """
 
 from __future__ import annotations
@@ -14,7 +14,8 @@
 # At this utilisation the queue before a link stays a few packets long, and the
 # time to copy grows by no more than a ninth.
 CAP_SHARE = 0.9
-# A copy still ends under the heaviest live traffic.
+# Copies always get this share, so that they complete even under the heaviest
+# live traffic.
 MIN_SHARE = 0.1
 # Time over which live traffic is averaged: longer than the interval between
 # two tokens, shorter than an operator would notice.
--- a/packages/burdockchute/burdockchute/decisions/fair_queue.py
+++ b/packages/burdockchute/burdockchute/decisions/fair_queue.py
@@ -28,8 +28,8 @@
 
 from burdockchute.model.requests import RequestContext
 
-# Ten times the objective for a first token. After that long, the usual order
-# has failed the caller.
+# Ten times the objective for a first token; by then the usual order has failed
+# the request.
 AGING_INTERVAL_S = 5.0
 
 
--- a/packages/burdockchute/burdockchute/decisions/listing.py
+++ b/packages/burdockchute/burdockchute/decisions/listing.py
@@ -1,4 +1,4 @@
-"""Which upstreams are known from the platform's list, also after its outages.
+"""Known upstreams, from the platform's list and across its outages.
 
 Upstreams renew their entry in the list each second or so, and it expires
 when they stop. When the list's store returns from an outage, all entries
@@ -19,7 +19,7 @@
 An upstream that restarts under a new id has the address of the old one,
 which stays in the list until it expires some seconds later. Only one process
 can serve at an address, so the upstream that was listed there last replaces
-the other. Before this rule, after a loss of power at all engines half of the
+the other. Without this rule, after a loss of power at all engines half of the
 requests went to ids that no longer existed, and for two seconds one in three
 callers was refused.
 
--- a/packages/burdockchute/burdockchute/decisions/overload.py
+++ b/packages/burdockchute/burdockchute/decisions/overload.py
@@ -6,21 +6,21 @@
 then stay full and no answer is on time, though the engines work all the time.
 
 So while new requests miss their objective, a part of each engine's slots is
-kept free of overdue requests. The reserve stands empty only when the overload
-is over, and overdue requests get it then.
+kept free of overdue requests. The reserve is idle only once the overload is
+over, and overdue requests may then use it.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-# Requests of this time are counted.
+# Age up to which requests are counted.
 WINDOW_S = 1.5
 
 # Share of missed objectives above which a service is overloaded.
 MISSED_SHARE = 0.15
 
-# With fewer requests, the share depends on chance.
+# Of fewer requests, the share that missed depends on chance.
 MIN_COUNT = 6
 
 # Share of an engine's slots that is kept free of overdue requests.
--- a/packages/burdockchute/burdockchute/decisions/pacing.py
+++ b/packages/burdockchute/burdockchute/decisions/pacing.py
@@ -57,7 +57,7 @@
 def predecessor(
     key: str, name: str, hosts: Sequence[str], share: float
 ) -> str | None:
-    """Return the name of the predecessor, None if it need not wait for one."""
+    """Return the name of the predecessor, None if the agent has none."""
     order = ranked(key, hosts)
     if name not in order:
         return None
@@ -71,7 +71,10 @@
     complete_since: float,
     now: float,
 ) -> bool:
-    """Whether this agent may load; its copy completed at `complete_since`."""
+    """Whether this agent may load; its copy completed at `complete_since`.
+
+    `watched` is the name of its predecessor, None if there is none.
+    """
     if watched is None or known.is_open or known.gone:
         return True
     return now - complete_since > PREDECESSOR_TIMEOUT_S
--- a/packages/burdockchute/burdockchute/decisions/slow_links.py
+++ b/packages/burdockchute/burdockchute/decisions/slow_links.py
@@ -19,10 +19,12 @@
 SUSPECT_RATIO = 2.0
 MIN_SUSPECT_S = 0.2
 
-# On the slowest link a probe behind a chunk or two takes less.
+# A slower probe shows a slow link. Queued behind a chunk or two, a probe takes
+# less even on the slowest link in use.
 SLOW_PROBE_S = 0.3
 
-# A report of another entry is valid for this time, and repeated twice in it.
+# A report of another entry is valid for this time, in which it is repeated
+# twice.
 PEER_REPORT_VALID_S = 1.0
 REPORT_INTERVAL_S = 0.45
 
@@ -128,7 +130,7 @@
     if state.slow_at is None:
         return False
     if state.reported_slow_at is None:
-        # The entry that reported it goes on doing so.
+        # The entry that reported it continues to report it.
         return now >= state.peer_reported_until
     return now - state.reported_slow_at >= REPORT_INTERVAL_S
 
--- a/packages/burdockchute/burdockchute/decisions/sources.py
+++ b/packages/burdockchute/burdockchute/decisions/sources.py
@@ -25,25 +25,26 @@
 
 from burdockchute.decisions.hosting import ranked
 
-# This many agents share the reads of one set of weights. More would not spread
-# the load better, and the order of a chunk costs one hash for each reader.
+# Agents that share the reads of one set of weights. More would not spread the
+# load better, and the order of a chunk costs one hash for each reader.
 READERS_PER_GROUP = 64
 # A slow origin that serves many reads at once completes all of them late, and
-# if it fails, none is complete. So few chunks are read at a time, in order;
-# with fewer than this the origin idles until a chunk is announced.
+# if it fails, none is complete. So only this many chunks are read at a time,
+# in order; with fewer, the origin idles until a chunk is announced.
 CHUNKS_AT_ONCE = 12
 # A chunk that is read in order is taken over from its reader after this many
 # times the duration of a read.
 TAKEOVER_READS = 3.0
-# For each such time without a new chunk, CHUNKS_AT_ONCE more may be read.
+# For each period of this length without a new chunk, CHUNKS_AT_ONCE more
+# chunks may be read.
 STALLED_S = 0.6
-# If this many readers in a row yield no chunk, the complete group is taken for
-# dead and the next group starts.
+# If this many readers in a row yield no chunk, the whole group counts as
+# failed and the next group starts.
 GROUP_STEPS = 6
 
-# A neighbour's announcement of its chunks takes the delay of a link; an agent
-# that joins late and read at once would fetch from the origin what all others
-# already have.
+# A neighbour's announcement of its chunks takes the delay of a link. An agent
+# that joins late and does not wait for it would read from the origin chunks
+# that all others already have.
 GRACE_S = 0.5
 # Longer than a chunk takes from its reader through a few neighbours.
 MIN_WAIT_S = 1.0
@@ -113,7 +114,7 @@
 
 
 def reader_rank(known: ReaderGroup, chunk: int) -> int:
-    """Return how many of its group come before the own agent.
+    """Return how many agents of its group read a chunk before the own one.
 
     The order rotates by one for each chunk, so that the reads are distributed
     evenly.
--- a/packages/burdockchute/burdockchute/decisions/staging.py
+++ b/packages/burdockchute/burdockchute/decisions/staging.py
@@ -10,8 +10,8 @@
 So both versions are copied at once, with one taking precedence. A copy of
 which FINISH_SHARE is held takes precedence and is loaded while the newer one
 follows, if it can be loaded before the version that serves now may start no
-more requests. So does a copy that the agents hold between them, if engines
-serve for longer that way. A copy of which less is held comes second and uses
+more requests. So does a copy that the agents together hold, if engines serve
+for longer that way. A copy of which less is held comes second and uses
 the remaining bandwidth: the origin may fail just when a version is named, and
 then the older version is the only one available. A copy that would complete
 too late is cancelled, as it would serve for a moment between two loads.
@@ -24,17 +24,19 @@
 
 FINISH_SHARE = 0.5
 
-# If the agents hold less of a copy between them, the time of its completion
-# can't be estimated.
+# If the agents together hold less of a copy, the time of its completion can't
+# be estimated.
 MIN_KNOWN_SHARE = 0.25
 # Duration of a copy over an idle link, as a multiple of the transfer time of
 # its bytes; the last chunks arrive one after the other.
 COPY_SLACK = 1.2
 # The same for a copy of which no agent holds a chunk: it waits for the origin.
 FRESH_COPY_SLACK = 1.3
-# A smaller gain would be reverted by the next evaluation.
+# A copy takes precedence only for a larger gain, as the next evaluation could
+# reverse a smaller one.
 MIN_GAIN_S = 0.5
-# Within this time the origin sends MIN_KNOWN_SHARE, or it is unavailable.
+# An origin that has not sent MIN_KNOWN_SHARE of a copy within this time counts
+# as unavailable.
 ORIGIN_SILENT_S = 1.5
 
 # The second half of the engines loads after the first one; a load, including
@@ -47,8 +49,8 @@
 # the end of the copies and the time by which a version has to be in force.
 LOADING_SHARE = 0.5
 
-# From this long before an older version may start no more requests, waiting
-# for a turn is of no use: no requests are sent to that version any more.
+# Time before the end of an older version from which waiting for a turn is
+# useless: no requests are sent to that version any more.
 FINAL_LOAD_S = 1.0
 
 # An engine that refused an order may be busy with its requests; to retry at
@@ -184,7 +186,7 @@
 # Before a load an engine finishes its requests; most of them end within this.
 DRAIN_S = 1.0
 
-# With less of a copy the time of its completion can't be estimated.
+# If less of a copy is held, the time of its completion can't be estimated.
 MIN_ESTIMATE_SHARE = 0.25
 
 
@@ -214,10 +216,10 @@
     """Estimate the seconds until an engine without weights takes requests.
 
     Callers that can wait for that time are admitted to wait, and the others
-    are told when to retry. `share` is the held share of the copy, which has
-    been in progress for `copying_s`. `remaining_by_link_s` is the duration of
-    the remainder at the full bandwidth of the link; it is used while too
-    little has been copied for an estimate.
+    are refused with a retry delay. `share` is the held share of the copy,
+    which has been in progress for `copying_s`. `remaining_by_link_s` is the
+    duration of the remainder at the full bandwidth of the link; it is used
+    while too little has been copied for an estimate.
 
     >>> opens_in_s(0.5, 2.0, 1.5), opens_in_s(0.1, 0.5, 4.0)
     (2.5, 4.5)
@@ -228,7 +230,7 @@
 
 
 def must_load(named_at: float | None, limit_s: float, now: float) -> bool:
-    """Whether a load can wait for its turn no longer.
+    """Whether an engine must load without waiting for its turn.
 
     `named_at` is when the version was named, None if long ago, and `limit_s`
     how long the previous version may be served after that.
--- a/packages/burdockchute/burdockchute/decisions/startup.py
+++ b/packages/burdockchute/burdockchute/decisions/startup.py
@@ -11,13 +11,13 @@
 
 from burdockchute.model.positions import Position
 
-# Agents are dialled as soon as the list is read, and report at once after.
+# Agents are dialled as soon as the list is read, and report immediately.
 NEIGHBOUR_WAIT_S = 0.5
 # Agents know what all their entries have reported, so a few are enough.
 SUFFICIENT_NEIGHBOURS = 3
 
-# Operators write again what the store has lost. A configuration that only
-# neighbours have known for longer than this will not come back.
+# Operators rewrite what the store has lost. A configuration that only
+# neighbours have known for longer than this will not be rewritten.
 REWRITE_WAIT_S = 15.0
 
 
--- a/packages/burdockchute/burdockchute/decisions/stream_moves.py
+++ b/packages/burdockchute/burdockchute/decisions/stream_moves.py
@@ -1,4 +1,4 @@
-"""When a stream is resumed on another engine so that its engine can load.
+"""When a stream moves to another engine so that the first one can load.
 
 A version is to be loaded on all engines within seconds. An engine that loads
 accepts nothing new and first completes its running requests. Most of them end
--- a/packages/burdockchute/burdockchute/decisions/switching.py
+++ b/packages/burdockchute/burdockchute/decisions/switching.py
@@ -2,7 +2,7 @@
 
 Versions change while requests are in flight, several times in quick
 succession, and orders fail, arrive late or are lost. An agent driven by
-events alone would at some time miss one and keep a gate open for weights that
+events alone would eventually miss one and keep a gate open for weights that
 are gone, or wait indefinitely. So the next step is derived from the current
 state only, and the agent evaluates it again after each change.
 
--- a/packages/burdockchute/burdockchute/decisions/versions.py
+++ b/packages/burdockchute/burdockchute/decisions/versions.py
@@ -32,7 +32,8 @@
 # a second.
 CANCEL_LEAD_S = 0.5
 
-# A saturated link becomes slower while earlier data is still queued on it.
+# Factor on the recent time to start: a saturated link becomes slower while
+# earlier data is still queued on it.
 START_SLACK = 1.5
 
 # Number of versions that may replace each other within the time of the first.
@@ -134,8 +135,8 @@
 def must_cancel(deadline: float | None, sent_at: float, now: float) -> bool:
     """Whether to cancel a request that has not started.
 
-    Its cancellation takes as long to arrive as the request, so a request that
-    has been under way for long is cancelled earlier by that time.
+    Its cancellation takes the same time to arrive as the request, so the
+    longer a request has been under way, the earlier it is cancelled.
 
     >>> must_cancel(17.5, 17.0, 17.4), must_cancel(17.5, 15.5, 16.9)
     (False, True)
--- a/packages/burdockchute/tests/decisions/test_engine_placement.py
+++ b/packages/burdockchute/tests/decisions/test_engine_placement.py
@@ -30,7 +30,7 @@
 
 class EnginePlacementTest(unittest.TestCase):
     def test_a_restarted_engine_does_not_get_every_request(self):
-        """One engine comes back empty while the others are half full.
+        """One engine restarts empty while the others are half full.
 
         Six entries see it at the same moment and each sends its requests.
         Counting free slots, it would get sixteen prompts at once and the last
--- a/packages/burdockchute/tests/decisions/test_listing.py
+++ b/packages/burdockchute/tests/decisions/test_listing.py
@@ -161,7 +161,7 @@
         self.assertEqual(['i-1'], names(listing.on_tick(again, 102.6)))
 
     def test_restored_copy_reverts_nothing_that_is_known(self):
-        """The copy has an engine before its drain, its load, its restart."""
+        """The copy shows an engine as before its drain, load or restart."""
         newest = upstream(version=3, draining=True, started_ms=2000)
         self.listed = listing.on_listed(
             self.listed, UpstreamListed(at(6), newest)
