--- a/packages/burdockchute/burdockchute/callers/auth.py
+++ b/packages/burdockchute/burdockchute/callers/auth.py
@@ -20,7 +20,7 @@
 def key_digest(key: str) -> str:
     """Return the digest of a key, as stored in the table.
 
-    >>> digest_of('secret')[:8]
+    >>> key_digest('secret')[:8]
     '5fbf08af'
     """
     return blake3.blake3(key.encode()).hexdigest()
--- a/packages/burdockchute/burdockchute/upstreams/gate.py
+++ b/packages/burdockchute/burdockchute/upstreams/gate.py
@@ -94,9 +94,9 @@
         if not entered:
             del self._entered[request_key]
         for weights in required:
-            remaining = self._in_flight.get(weights, 0) - 1
-            if remaining > 0:
-                self._in_flight[weights] = remaining
+            left = self._in_flight.get(weights, 0) - 1
+            if left > 0:
+                self._in_flight[weights] = left
             else:
                 self._in_flight.pop(weights, None)
 
