--- a/packages/burdockchute/burdockchute/operators/losses.py
+++ b/packages/burdockchute/burdockchute/operators/losses.py
@@ -96,7 +96,7 @@
 
 
 def reason_of(fields: Mapping[str, str]) -> str | None:
-    """Return why a request ended as it did, None if the line is no end.
+    """Return why a request ended so, None if the line is not about its end.
 
     Numbers and names are replaced, so that equal reasons are counted together.
     """
