--- a/packages/burdockchute/burdockchute/decisions/chunks.py
+++ b/packages/burdockchute/burdockchute/decisions/chunks.py
@@ -66,7 +66,7 @@
     offers: Sequence[Offer], holders: Holders, rng: random.Random
 ) -> Choice:
     """Return a random chunk of the peer with the fewest uploads."""
-    offer = _least(offers, rng)
+    offer = _any_least_loaded(offers, rng)
     return Choice(offer.peer, _any_chunk(offer.useful, rng))
 
 
@@ -74,7 +74,7 @@
     offers: Sequence[Offer], holders: Holders, rng: random.Random
 ) -> Choice:
     """Return the chunk with the fewest holders, from a random holder."""
-    chunk = _rarest(offers, holders, rng)
+    chunk = _any_rarest(offers, holders, rng)
     offering = [offer for offer in offers if offer.useful >> chunk & 1]
     return Choice(rng.choice(offering).peer, chunk)
 
@@ -83,9 +83,9 @@
     offers: Sequence[Offer], holders: Holders, rng: random.Random
 ) -> Choice:
     """Return the chunk with the fewest holders, from the least loaded."""
-    chunk = _rarest(offers, holders, rng)
+    chunk = _any_rarest(offers, holders, rng)
     offering = [offer for offer in offers if offer.useful >> chunk & 1]
-    return Choice(_least(offering, rng).peer, chunk)
+    return Choice(_any_least_loaded(offering, rng).peer, chunk)
 
 
 def lottery(
@@ -140,7 +140,7 @@
     return (useful & -useful).bit_length() - 1
 
 
-def _rarest(
+def _any_rarest(
     offers: Sequence[Offer], holders: Holders, rng: random.Random
 ) -> int:
     union = 0
@@ -158,6 +158,6 @@
     return rng.choice(rarest)
 
 
-def _least(offers: Sequence[Offer], rng: random.Random) -> Offer:
+def _any_least_loaded(offers: Sequence[Offer], rng: random.Random) -> Offer:
     load = min(offer.load for offer in offers)
     return rng.choice([offer for offer in offers if offer.load == load])
--- a/packages/burdockchute/burdockchute/decisions/engine_placement.py
+++ b/packages/burdockchute/burdockchute/decisions/engine_placement.py
@@ -166,8 +166,8 @@
     """
     if not cost.usual_prompt_tokens:
         return float('inf')
-    read = period_s * cost.prompt_tokens_per_s / cost.usual_prompt_tokens
-    return max(1.0, read)
+    processed = period_s * cost.prompt_tokens_per_s / cost.usual_prompt_tokens
+    return max(1.0, processed)
 
 
 def random_share(free: float, entries: int, chance: float) -> int:
--- a/packages/burdockchute/burdockchute/decisions/placement.py
+++ b/packages/burdockchute/burdockchute/decisions/placement.py
@@ -271,17 +271,17 @@
     free = [load for load in loads if load.headroom(now) > 0]
     if not free:
         return None
-    compared = rng.sample(free, 2) if len(free) > 2 else list(free)
+    candidates = rng.sample(free, 2) if len(free) > 2 else list(free)
     home = None
     if work.prefixes:
         home = hosting.ranked(work.prefixes[0], [i.name for i in free])[0]
-        compared += [
+        candidates += [
             load
             for load in free
             if load.name == home or load.warm_tokens(work, now)
         ]
     return min(
-        compared,
+        candidates,
         key=lambda load: expected_s(
             load, work, load.name == home, mean_unit_s, now
         ),
@@ -298,7 +298,9 @@
     """Estimate the seconds from sending a request to its end."""
     service_s = load.current_unit_s(mean_unit_s, now) * work.cost
     filled = load.in_flight(now) / load.slots
-    waits = max(0.0, load.in_flight(now) + 1 - load.slots) / load.slots
+    queued_per_slot = (
+        max(0.0, load.in_flight(now) + 1 - load.slots) / load.slots
+    )
     prefill_s = 0.0
     if load.prefill_tokens_per_s > 0:
         warm_tokens: float = load.warm_tokens(work, now)
@@ -306,7 +308,10 @@
             warm_tokens = HOME_PREFERENCE * len(work.prefixes) * BLOCK_TOKENS
         cold_tokens = work.prompt_tokens - warm_tokens
         prefill_s = cold_tokens / load.prefill_tokens_per_s
-    return service_s * (1 + FULL_BATCH_COST * filled + waits) + prefill_s
+    return (
+        service_s * (1 + FULL_BATCH_COST * filled + queued_per_slot)
+        + prefill_s
+    )
 
 
 def accepting_long(
--- a/packages/burdockchute/burdockchute/decisions/sources.py
+++ b/packages/burdockchute/burdockchute/decisions/sources.py
@@ -113,7 +113,7 @@
     )
 
 
-def reader_rank(known: ReaderGroup, chunk: int) -> int:
+def reader_rank(group: ReaderGroup, chunk: int) -> int:
     """Return how many agents of its group read a chunk before the own one.
 
     The order rotates by one for each chunk, so that the reads are distributed
@@ -125,13 +125,17 @@
     >>> reader_rank(group._replace(unreachable=frozenset('a')), 0)
     0
     """
-    names = known.names
-    if known.own not in names:
+    names = group.names
+    if group.own not in names:
         return len(names)
     first = chunk % len(names)
-    own = names.index(known.own)
-    before = names[first:own] if first <= own else names[first:] + names[:own]
-    return sum(1 for name in before if name not in known.unreachable)
+    own_position = names.index(group.own)
+    before = (
+        names[first:own_position]
+        if first <= own_position
+        else names[first:] + names[:own_position]
+    )
+    return sum(1 for name in before if name not in group.unreachable)
 
 
 def chunks_at_once(arrivals: ChunkArrivals, now: float) -> int:
--- a/packages/burdockchute/burdockchute/decisions/subset.py
+++ b/packages/burdockchute/burdockchute/decisions/subset.py
@@ -136,13 +136,13 @@
     def _nearest(
         self, hosts: list[str], region: str, count: int, chosen: set[str]
     ) -> set[str]:
-        own = name_hash(self._own)
+        own_hash = name_hash(self._own)
         order = heapq.nsmallest(
             count,
             (name for name in hosts if name not in chosen),
             key=lambda name: (
                 self._agents[name].region != region,
-                mix_bits(own ^ name_hash(name)),
+                mix_bits(own_hash ^ name_hash(name)),
             ),
         )
         return set(order)
@@ -157,12 +157,15 @@
 
     `zones` has the entries as (hash of the name, name) by region and zone.
     """
-    agent = name_hash(name)
+    agent_hash = name_hash(name)
     local: list[tuple[bool, int, str]] = []
     remote: list[tuple[int, str]] = []
     for region, by_zone in zones.items():
         for entries in by_zone.values():
-            scored = [(mix_bits(agent ^ n), entry) for n, entry in entries]
+            scored = [
+                (mix_bits(agent_hash ^ entry_hash), entry)
+                for entry_hash, entry in entries
+            ]
             if region != place.region:
                 remote.append(min(scored))
                 continue
--- a/packages/burdockchute/tests/decisions/test_overload.py
+++ b/packages/burdockchute/tests/decisions/test_overload.py
@@ -26,8 +26,8 @@
         state = OverloadDetector()
         for tenth in range(10, 60):
             self.record(state, tenth / 10, tenth % 3 == 0, 3)
-        began = 5.9 - state.duration_s(5.9)
-        self.assertLess(began, 1.7)
+        started = 5.9 - state.duration_s(5.9)
+        self.assertLess(started, 1.7)
         self.assertEqual(overload.OVERDUE_RESERVE, state.overdue_reserve(5.9))
 
     def test_it_ends_when_new_requests_are_on_time(self):
--- a/packages/burdockchute/tests/decisions/test_spreading.py
+++ b/packages/burdockchute/tests/decisions/test_spreading.py
@@ -89,7 +89,7 @@
         self.assertEqual(set(before[1:]), set(before) & set(after))
 
 
-class ChoiceTest(unittest.TestCase):
+class ChunkPoliciesTest(unittest.TestCase):
     OFFERS = (Offer('p', 0b0111, 3, 1), Offer('q', 0b1010, 0, 1))
     HOLDERS = (2, 2, 1, 2)
 
@@ -129,7 +129,7 @@
         self.assertEqual([], chunks.nearest([offers[2]]))
 
 
-class ReadersTest(unittest.TestCase):
+class ReaderGroupTest(unittest.TestCase):
     NAMES = tuple(f'a{number}' for number in range(12))
 
     def ranks(self, chunk: int) -> dict[str, int]:
@@ -153,7 +153,7 @@
         self.assertEqual(12, len(first))
         self.assertEqual(10, max(first.values()))
 
-    def test_others_keep_their_turns_when_one_is_absent(self):
+    def test_positions_are_kept_when_a_reader_is_unreachable(self):
         """Agents see different ones as gone, but read no chunk twice."""
         known = sources.reader_group('d', 'a3', self.NAMES)
         others = {name for name in self.NAMES if name != 'a3'}
@@ -246,7 +246,7 @@
                 )
 
 
-class RatesTest(unittest.TestCase):
+class CopyRatesTest(unittest.TestCase):
     def test_rate_is_kept_over_time(self):
         bucket = copy_rates.Bucket(0.0, 0.0)
         sent = 0
--- a/packages/burdockchute/tests/decisions/test_switching.py
+++ b/packages/burdockchute/tests/decisions/test_switching.py
@@ -21,7 +21,7 @@
 DIGESTS = ('d1', 'd2', 'd3')
 
 
-def situation(**changes) -> RowState:
+def row_state(**changes) -> RowState:
     base = RowState('new', True, NONE, NONE, NONE, {})
     return base._replace(**changes)
 
@@ -29,70 +29,70 @@
 class NextStepTest(unittest.TestCase):
     def test_first_version(self):
         cases = [
-            (situation(complete=False), Wait('copying')),
-            (situation(), Load('new')),
-            (situation(loading=frozenset({'new'})), Wait('loading')),
-            (situation(loaded=frozenset({'new'})), OpenGate('new')),
+            (row_state(complete=False), Wait('copying')),
+            (row_state(), Load('new')),
+            (row_state(loading=frozenset({'new'})), Wait('loading')),
+            (row_state(loaded=frozenset({'new'})), OpenGate('new')),
         ]
-        for given, wanted in cases:
-            with self.subTest(given=given):
-                self.assertEqual(wanted, next_step(given))
+        for state, wanted in cases:
+            with self.subTest(state=state):
+                self.assertEqual(wanted, next_step(state))
 
     def test_new_version_beside_the_old(self):
         old = frozenset({'old'})
         both = frozenset({'old', 'new'})
         self.assertEqual(
-            Load('new'), next_step(situation(loaded=old, is_open=old))
+            Load('new'), next_step(row_state(loaded=old, is_open=old))
         )
         self.assertEqual(
-            OpenGate('new'), next_step(situation(loaded=both, is_open=old))
+            OpenGate('new'), next_step(row_state(loaded=both, is_open=old))
         )
         self.assertEqual(
-            CloseGate('old'), next_step(situation(loaded=both, is_open=both))
+            CloseGate('old'), next_step(row_state(loaded=both, is_open=both))
         )
 
     def test_old_version_is_unloaded_first_without_room(self):
         old = frozenset({'old'})
-        given = situation(loaded=old, is_open=old, fits_two_versions=False)
-        self.assertEqual(CloseGate('old'), next_step(given))
-        given = given._replace(is_open=NONE, in_flight={'old': 1})
-        self.assertEqual(Wait('requests in flight'), next_step(given))
-        given = given._replace(in_flight={})
-        self.assertEqual(Unload('old'), next_step(given))
+        state = row_state(loaded=old, is_open=old, fits_two_versions=False)
+        self.assertEqual(CloseGate('old'), next_step(state))
+        state = state._replace(is_open=NONE, in_flight={'old': 1})
+        self.assertEqual(Wait('requests in flight'), next_step(state))
+        state = state._replace(in_flight={})
+        self.assertEqual(Unload('old'), next_step(state))
 
     def test_old_version_serves_until_its_turn_to_load(self):
         old = frozenset({'old'})
-        given = situation(
+        state = row_state(
             loaded=old, is_open=old, fits_two_versions=False, may_load=False
         )
-        self.assertEqual(Wait('others load first'), next_step(given))
+        self.assertEqual(Wait('others load first'), next_step(state))
 
     def test_gate_closes_when_the_weights_are_gone(self):
         # The engine restarts or follows the orders of another process, and
         # reports other weights than those whose gate is open.
-        given = situation(
+        state = row_state(
             loaded=frozenset({'other'}), is_open=frozenset({'new'})
         )
-        self.assertEqual(CloseGate('new'), next_step(given))
+        self.assertEqual(CloseGate('new'), next_step(state))
 
     def test_unsettled_report_opens_no_gate(self):
-        given = situation(loaded=frozenset({'new'}), settled=False)
+        state = row_state(loaded=frozenset({'new'}), settled=False)
         self.assertEqual(
-            Wait('reported state is not settled'), next_step(given)
+            Wait('reported state is not settled'), next_step(state)
         )
 
     def test_adapter_waits_for_its_base(self):
-        given = situation(base_loaded=False)
-        self.assertEqual(Wait('base model is not loaded'), next_step(given))
+        state = row_state(base_loaded=False)
+        self.assertEqual(Wait('base model is not loaded'), next_step(state))
 
     def test_weights_of_a_deleted_row_are_unloaded(self):
         new = frozenset({'new'})
-        given = situation(wanted='', complete=False, loaded=new, is_open=new)
-        self.assertEqual(CloseGate('new'), next_step(given))
-        given = given._replace(is_open=NONE)
-        self.assertEqual(Unload('new'), next_step(given))
+        state = row_state(wanted='', complete=False, loaded=new, is_open=new)
+        self.assertEqual(CloseGate('new'), next_step(state))
+        state = state._replace(is_open=NONE)
+        self.assertEqual(Unload('new'), next_step(state))
         self.assertEqual(
-            Wait('nothing to do'), next_step(given._replace(loaded=NONE))
+            Wait('nothing to do'), next_step(state._replace(loaded=NONE))
         )
 
 
