--- a/packages/burdockchute/burdockchute/wire/burdockchute.thrift
+++ b/packages/burdockchute/burdockchute/wire/burdockchute.thrift
@@ -237,7 +237,7 @@
   1: list<Share> shares
 }
 
-// entry -> entry: ask the gatherer of a claim stream to claim a key.
+// entry -> entry: ask the collector of a claim stream to claim a key.
 struct ClaimRequest {
   1: string claim_id
   2: string customer
