--- a/packages/burdockchute-testing/burdockchute_testing/builders/fleets.py
+++ b/packages/burdockchute-testing/burdockchute_testing/builders/fleets.py
@@ -1,4 +1,4 @@
-"""Members of fleets of any size for tests and benches."""
+"""Member lists of any size for tests and benches."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def fleet(entries: int, agents: int) -> list[Member]:
-    """Give entries and agents spread over four regions and 14 zones."""
+    """Return members spread evenly over 4 regions, 14 zones and 3 pools."""
     return [
         *(_member('entry', number) for number in range(entries)),
         *(_member('agent', number) for number in range(agents)),
--- a/packages/burdockchute-testing/burdockchute_testing/builders/load_simulation.py
+++ b/packages/burdockchute-testing/burdockchute_testing/builders/load_simulation.py
@@ -1,8 +1,9 @@
-"""Plays a pattern of load through a router, in a time of its own.
+"""Runs a load pattern through a router in simulated time.
 
-Upstreams are played by the least that shows a decision: so many slots, a
-time per unit of work, a report each second. There is no network and no
-clock; a minute of load takes a fraction of a second.
+The model of an upstream is the smallest one that shows the router's
+decisions: a number of slots, a time per unit of work and a load report each
+second. It uses neither a network nor a real clock, so a minute of load takes
+a fraction of a second.
 """
 
 from __future__ import annotations
@@ -28,16 +29,19 @@
 
 
 class _UpstreamLink(routing.FakeLink):
-    def __init__(self, name: str, take: Callable[[Any], None]) -> None:
+    def __init__(self, name: str, on_message: Callable[[Any], None]) -> None:
         super().__init__(name)
-        self._take = take
+        self._receive = on_message
 
     def send(self, message: Any) -> None:
-        self._take(message)
+        self._receive(message)
 
 
 class SimulatedUpstream:
-    """An instance that runs `slots` requests at once, the rest in order."""
+    """An instance that runs `slots` requests at a time, in FIFO order.
+
+    A request takes `unit_s` seconds for each unit of its cost.
+    """
 
     def __init__(
         self, simulation: LoadSimulation, name: str, slots: int, unit_s: float
@@ -50,32 +54,32 @@
         self._simulation = simulation
         self._running: dict[str, RequestContext] = {}
         self._queued: list[str] = []
-        self.link: Any = _UpstreamLink(name, self._take)
+        self.link: Any = _UpstreamLink(name, self._receive)
 
     def start(self) -> None:
-        """Link it and let it report from now on."""
+        """Connect to the router and start to send load reports."""
         self._simulation.bench.router.handle(links.Opened(self.link))
         self._report()
 
     def stop(self) -> None:
-        """Close its link; what runs there is lost."""
+        """Close the link; requests in progress are lost."""
         self._running.clear()
         self._queued.clear()
         self._simulation.bench.close(self.link)
 
-    def _take(self, message: Any) -> None:
+    def _receive(self, message: Any) -> None:
         if self.link.closed_reason:
             raise links.LinkError(self.link.closed_reason)
         if isinstance(message, messages.Dispatch):
             self._queued.append(message.request_id)
-            self._simulation.schedule(0.0, self._fill)
+            self._simulation.schedule(0.0, self._start_queued)
         elif isinstance(message, messages.Cancel):
             self._running.pop(message.request_id, None)
             if message.request_id in self._queued:
                 self._queued.remove(message.request_id)
-            self._simulation.schedule(0.0, self._fill)
+            self._simulation.schedule(0.0, self._start_queued)
 
-    def _fill(self) -> None:
+    def _start_queued(self) -> None:
         while self._queued and len(self._running) < self.slots:
             request_id = self._queued.pop(0)
             ctx = self._simulation.requests[request_id]
@@ -91,14 +95,22 @@
         self.finished_count += 1
         self.work_done += admission.cost_of(ctx)
         end = messages.AnswerEnd(
-            ctx.request_id, 1, 200, 'x', 'd1', '', '', False, self._in_hand()
+            ctx.request_id,
+            1,
+            200,
+            'x',
+            'd1',
+            '',
+            '',
+            False,
+            self._running_or_queued(),
         )
         part = messages.AnswerPart(ctx.request_id, 0, b'{}')
         self._simulation.bench.receive(self.link, part)
         self._simulation.bench.receive(self.link, end)
-        self._fill()
+        self._start_queued()
 
-    def _in_hand(self) -> int:
+    def _running_or_queued(self) -> int:
         return len(self._running) + len(self._queued)
 
     def _report(self) -> None:
@@ -107,7 +119,7 @@
         self._simulation.bench.report(
             self.link,
             slots=self.slots,
-            running=self._in_hand(),
+            running=self._running_or_queued(),
         )
         self._simulation.schedule(REPORT_S, self._report)
 
@@ -124,23 +136,23 @@
     def add_upstream(
         self, name: str, slots: int, unit_s: float
     ) -> SimulatedUpstream:
-        """Add an instance that is open at once."""
+        """Add an instance that accepts requests at once."""
         upstream = SimulatedUpstream(self, name, slots, unit_s)
         upstream.start()
         return upstream
 
     def schedule(self, delay_s: float, act: Callable[[], None]) -> None:
-        """Do something later."""
+        """Call `act` after a delay."""
         due = self.bench.now + delay_s
         heapq.heappush(self._events, (due, next(self._order), act))
 
     def schedule_request(self, delay_s: float, ctx: RequestContext) -> None:
-        """Let a request arrive later; its deadline counts from then."""
+        """Submit a request after a delay; its deadline counts from then."""
         self.requests[ctx.request_id] = ctx
         self.schedule(delay_s, lambda: self._submit(ctx))
 
     def run(self, seconds: float) -> None:
-        """Let time pass, with a tick of the router each tenth."""
+        """Advance the time, with a tick of the router every 0.1 seconds."""
         until = self.bench.now + seconds
         next_tick = self.bench.now
         while next_tick <= until:
@@ -157,7 +169,10 @@
 
 
 class LatencySummary(NamedTuple):
-    """What a set of callers got; times are seconds, 0 where none."""
+    """Counts and latencies of a set of requests.
+
+    Latencies are in seconds, and 0 if nothing was answered.
+    """
 
     sent: int
     answered: int
@@ -167,20 +182,20 @@
 
 def summarize(
     finished: Iterable[RequestSummary],
-    chosen: Callable[[RequestContext], bool] = lambda ctx: True,
+    matches: Callable[[RequestContext], bool] = lambda ctx: True,
 ) -> LatencySummary:
-    """Count the answers of the chosen requests and how long they took."""
-    own = [one for one in finished if chosen(one.ctx)]
+    """Return answer counts and latencies of the requests that match."""
+    selected = [one for one in finished if matches(one.ctx)]
     times = sorted(
-        one.total_s for one in own if isinstance(one.outcome, Answered)
+        one.total_s for one in selected if isinstance(one.outcome, Answered)
     )
     return LatencySummary(
-        len(own), len(times), quantile(times, 0.5), quantile(times, 0.95)
+        len(selected), len(times), quantile(times, 0.5), quantile(times, 0.95)
     )
 
 
 def quantile(ordered: list[float], share: float) -> float:
-    """Give a quantile of ordered values, 0 where there are none."""
+    """Return a quantile of sorted values, 0 if there are none."""
     if not ordered:
         return 0.0
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
--- a/packages/burdockchute-testing/burdockchute_testing/builders/requests.py
+++ b/packages/burdockchute-testing/burdockchute_testing/builders/requests.py
@@ -25,15 +25,15 @@
 
 
 def table_of(*items: rows.Row, offset: int = 1) -> Table:
-    """Give a table with these rows, or with one of each kind."""
-    chosen = items or (STORY, RHYMES, PROOFS, LINDWURM, SAHYOG)
+    """Return a table with these rows, by default with some of each kind."""
+    selected = items or (STORY, RHYMES, PROOFS, LINDWURM, SAHYOG)
     return Table(
-        offset, {rows.key_of(row): Revisioned(row, offset) for row in chosen}
+        offset, {rows.key_of(row): Revisioned(row, offset) for row in selected}
     )
 
 
 def request(**changes: Any) -> RequestContext:
-    """Give a short streamed request for the story model."""
+    """Return a short streamed request for the story model."""
     ctx = RequestContext(
         request_id=f'r{next(_ids)}',
         customer='lindwurm',
--- a/packages/burdockchute-testing/burdockchute_testing/builders/routing.py
+++ b/packages/burdockchute-testing/burdockchute_testing/builders/routing.py
@@ -1,4 +1,4 @@
-"""A router with agents that a test plays by hand."""
+"""A router whose agents are driven by the test."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class FakeLink:
-    """The entry's end of a link, which keeps what was sent."""
+    """The entry's end of a link, which records the messages sent on it."""
 
     def __init__(self, name: str, role: str = 'agent') -> None:
         self.peer = messages.Hello(name, role, 'z', 'r', 'i', -1, 1)
@@ -28,18 +28,18 @@
         self.sent: list[Any] = []
 
     def send(self, message: Any) -> None:
-        """Keep a message; raises LinkError once closed."""
+        """Record a message; raises LinkError once closed."""
         if self.closed_reason:
             raise links.LinkError(self.closed_reason)
         self.sent.append(message)
 
     def dispatched(self) -> list[messages.Dispatch]:
-        """Give the requests that were handed on."""
+        """Return the requests that were dispatched to this agent."""
         return [m for m in self.sent if isinstance(m, messages.Dispatch)]
 
 
 class RouterTestBench:
-    """A router at a time that the test sets."""
+    """A router on a clock that the test sets."""
 
     def __init__(self, table: Table, **options: Any) -> None:
         self.now = 100.0
@@ -56,18 +56,18 @@
         self.replies: dict[str, queue.Queue] = {}
 
     def agent(self, name: str, **changes: Any) -> FakeLink:
-        """Link an agent that has reported."""
+        """Connect an agent that has sent a load report."""
         link: Any = FakeLink(name)
         self.router.handle(links.Opened(link))
         self.report(link, **changes)
         return link
 
     def report(self, link: Any, **changes: Any) -> None:
-        """Let an agent report its load."""
+        """Receive a load report from an agent."""
         self.receive(link, load_report(link.peer.name, **changes))
 
     def receive(self, link: Any, message: Any) -> None:
-        """Let a message come over a link."""
+        """Receive a message on a link."""
         self.router.handle(links.Received(link, message))
 
     def close(self, link: Any, reason: str = 'silent') -> None:
@@ -76,7 +76,7 @@
         self.router.handle(links.Closed(link, reason))
 
     def submit(self, ctx: RequestContext) -> str:
-        """Send a request, with times counted from now; gives its id."""
+        """Submit a request, with its times counted from now; return its id."""
         ctx = ctx._replace(arrived=self.now, deadline=self.now + ctx.deadline)
         replies: queue.Queue = queue.Queue()
         self.replies[ctx.request_id] = replies
@@ -86,7 +86,7 @@
     def answer(
         self, link: Any, request_id: str, parts: int = 1, **changes: Any
     ) -> None:
-        """Let an agent answer a request whole."""
+        """Receive the complete answer of a request from an agent."""
         dispatch = [
             d for d in link.dispatched() if d.request_id == request_id
         ][-1]
@@ -108,7 +108,7 @@
     def fail_request(
         self, link: Any, request_id: str, crashed: bool = False
     ) -> None:
-        """Let a request come to nothing after it was handed on."""
+        """Receive the failure of a dispatched request from an agent."""
         self.receive(
             link,
             messages.AnswerEnd(
@@ -117,30 +117,30 @@
         )
 
     def advance(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock and run a tick of the router."""
         self.now += seconds
         self.router.tick()
 
     def outcome(self, request_id: str) -> Outcome | None:
-        """Give the final outcome, None while there is none."""
+        """Return the final outcome, None until there is one."""
         for reply in self.replies_to(request_id):
             if isinstance(reply, Done):
                 return reply.outcome
         return None
 
     def parts(self, request_id: str) -> list[bytes]:
-        """Give the parts that reached the caller."""
+        """Return the parts that reached the caller."""
         return [
             r.data for r in self.replies_to(request_id) if isinstance(r, Part)
         ]
 
     def replies_to(self, request_id: str) -> list[Any]:
-        """Give every reply so far."""
+        """Return all replies to a request so far."""
         return list(self.replies[request_id].queue)
 
 
 def load_report(name: str, **changes: Any) -> messages.LoadReport:
-    """Give a report of an idle instance with story and proofs open."""
+    """Return a report of an idle instance with story and proofs open."""
     opened = changes.pop('opened', {'model/story': ['d1']})
     fields: dict[str, Any] = {
         'running': 0,
--- a/packages/burdockchute-testing/burdockchute_testing/builders/upstreams.py
+++ b/packages/burdockchute-testing/burdockchute_testing/builders/upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams as the list names them."""
+"""Entries of the list of upstreams."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 def upstream(**changes: Any) -> Upstream:
-    """Give an engine of the service `drafts`.
+    """Return an engine of the service `drafts`, with changed fields.
 
     >>> upstream(slots=4).slots
     4
     """
-    usual = Upstream(
+    defaults = Upstream(
         id='i-1',
         service='drafts',
         endpoint=Endpoint('10.0.0.1', 80),
@@ -29,14 +29,14 @@
         versions={'story': 1},
         started_ms=1000,
     )
-    return usual._replace(**changes)
+    return defaults._replace(**changes)
 
 
 def upstream_list(*upstreams: Upstream) -> UpstreamList:
-    """Give the list that names these."""
-    found = listing.empty()
-    for offset, each in enumerate(upstreams):
-        found = listing.on_listed(
-            found, UpstreamListed(Position(0, offset), each)
+    """Return a list of these upstreams."""
+    result = listing.empty()
+    for offset, upstream_entry in enumerate(upstreams):
+        result = listing.on_listed(
+            result, UpstreamListed(Position(0, offset), upstream_entry)
         )
-    return found
+    return result
