--- a/packages/burdockchute-testing/burdockchute_testing/fakes/__init__.py
+++ b/packages/burdockchute-testing/burdockchute_testing/fakes/__init__.py
@@ -1,3 +1,3 @@
-"""In-memory fakes at the interfaces, for tests without a network."""
+"""Fakes of the product's interfaces for tests of single components."""
 
 from __future__ import annotations
--- a/packages/burdockchute-testing/burdockchute_testing/fakes/entry.py
+++ b/packages/burdockchute-testing/burdockchute_testing/fakes/entry.py
@@ -1,4 +1,4 @@
-"""A fake entry: one link to a real agent, under the test's control."""
+"""A fake entry: one link to a real agent, controlled by the test."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class FakeEntry:
-    """Sends rows and requests to an agent and keeps what comes back."""
+    """Sends rows and requests to an agent and records its messages."""
 
     def __init__(self, address: str, port: int, name: str = 'e1') -> None:
         self.inbox: queue.Queue = queue.Queue()
@@ -36,17 +36,17 @@
         self.link.close('test ends')
 
     def send_rows(self, *rows: Row) -> None:
-        """Send these rows as the whole table."""
+        """Send these rows as the complete table."""
         self.offset += 1
         records = [_record_of(row, self.offset) for row in rows]
         self.link.send(messages.TableDelta(-1, self.offset, records))
 
     def send_members(self, members: Iterable[messages.Member]) -> None:
-        """Send the list of instances."""
+        """Send the list of members."""
         self.link.send(messages.Members(list(members), self.offset))
 
     def dispatch(self, request_id: str, **fields: Any) -> None:
-        """Send a request; a completion's body is given as `document`."""
+        """Dispatch a request; `document` is the JSON body of a completion."""
         document = fields.pop('document', None)
         if document is not None:
             fields['body'] = json.dumps(document).encode()
@@ -69,7 +69,7 @@
         self.link.send(messages.Dispatch(request_id, **{**values, **fields}))
 
     def next_event(self, timeout_s: float = TIMEOUT_S) -> links.Event:
-        """Wait for the next event of the link, but for load reports."""
+        """Wait for the next event of the link, ignoring load reports."""
         until = time.monotonic() + timeout_s
         while True:
             event = self.inbox.get(timeout=max(0, until - time.monotonic()))
@@ -77,17 +77,18 @@
             if not isinstance(message, messages.LoadReport):
                 return event
 
-    def wait_leaving(self) -> None:
-        """Wait until a load report says that the agent leaves."""
+    def wait_shutdown_report(self) -> None:
+        """Wait for a load report that says that the agent is shutting down."""
         leaving = False
         while not leaving:
             event = self.inbox.get(timeout=TIMEOUT_S)
             leaving = getattr(getattr(event, 'message', 0), 'leaving', False)
 
     def messages_of(self, request_id: str) -> Iterator[Any]:
-        """Give what comes for a request, up to its end or not-run.
+        """Yield the messages about a request, up to its end or not-run.
 
-        Events of other requests are dropped, so have one at a time.
+        Messages about other requests are dropped, so only one request can
+        be read at a time. Raises LinkError if the link closes.
         """
         while True:
             event = self.next_event()
--- a/packages/burdockchute-testing/burdockchute_testing/fakes/fleet.py
+++ b/packages/burdockchute-testing/burdockchute_testing/fakes/fleet.py
@@ -1,7 +1,8 @@
-"""Agents' weights tasks in one process, on real sockets of the loopback.
+"""Weights tasks of several agents in one process, on loopback sockets.
 
-Each has an engine stand-in, and all share one weight store stand-in. Table
-and members are put into their inboxes, as the agent's rows task does.
+Each agent has its own stand-in engine; all share one stand-in weight store.
+The table and the members are put into the tasks' inboxes, as the agent's
+rows task does.
 """
 
 from __future__ import annotations
@@ -33,23 +34,27 @@
 from burdockchute_testing.standins import serving
 from burdockchute_testing.standins import weight_store
 
-LINK = 64e6
-WAIT_S = 30.0
+LINK_BYTES_PER_S = 64e6
+WAIT_TIMEOUT_S = 30.0
 CHUNK = 4096
-HERE = Place('z1', 'r1', 'main')
+LOCAL_PLACE = Place('z1', 'r1', 'main')
 
 
 class Agent:
-    """One weights task with its engine; `fence` is its fencing number."""
+    """One weights task with its engine; `fence` is its fencing number.
+
+    `link` is the bandwidth of the uplink and of the downlink in bytes per
+    second.
+    """
 
     def __init__(
         self,
         case: unittest.TestCase,
         name: str,
         store_url: str,
-        place: Place = HERE,
+        place: Place = LOCAL_PLACE,
         fence: int = 1,
-        link: float = LINK,
+        link: float = LINK_BYTES_PER_S,
         engine_options: dict[str, Any] | None = None,
         engine_url: str = '',
     ) -> None:
@@ -79,7 +84,7 @@
         case.addCleanup(self.stop)
 
     def stop(self) -> None:
-        """End it without a word to its peers but the closed links."""
+        """Stop abruptly; the peers only see their links close."""
         self._listening.stop(timeout=0)
         self.greenlet.kill()
 
@@ -90,7 +95,7 @@
         return Member(self.name, 'agent', '127.0.0.1', port, self.place)
 
     def open_digests(self) -> set[str]:
-        """Give the digests for which the gate is open."""
+        """Return the digests for which the gate is open."""
         return {
             state.weights.digest
             for state in self.task.gate.states()
@@ -98,12 +103,12 @@
         }
 
     def loaded(self) -> set[str]:
-        """Give the digests that the engine has loaded."""
-        state = _ask(self.engine.handle, '/state')
+        """Return the digests that the engine has loaded."""
+        state = _get_json(self.engine.handle, '/state')
         return {item['digest'] for item in state['loaded']}
 
     def set_faults(self, **faults: Any) -> None:
-        """Set the faults of the engine; none makes it whole."""
+        """Replace the faults of the engine; without arguments, clear them."""
         body = json.dumps(faults).encode()
         self.engine.handle(serving.Request('POST', '/faults', {}, {}, body))
 
@@ -119,19 +124,19 @@
         )
 
     def _serve_weights(self, request: serving.Request) -> serving.Reply:
-        held = self.task.weights_response(request.path.rpartition('/')[2])
-        if held is None:
+        served = self.task.weights_response(request.path.rpartition('/')[2])
+        if served is None:
             return serving.json_reply(404, {})
-        manifest, chunks = held
+        manifest, chunks = served
         header = ('Burdockchute-Manifest', manifest_header(manifest))
         return serving.Reply(200, chunks, 'text/plain', (header,))
 
 
 class FakePeer:
-    """A peer that claims to hold all chunks and answers as it is told.
+    """A peer that claims to hold all chunks and sends what the test gives.
 
-    `answer` takes a chunk's index and gives the bytes to send, or None to
-    send nothing.
+    `answer` takes the index of a chunk and returns the bytes to send, or
+    None to send nothing.
     """
 
     def __init__(
@@ -164,7 +169,7 @@
     def member(self) -> Member:
         """Its entry in the list of members."""
         port = self._listening.server_port
-        return Member(self.name, 'agent', '127.0.0.1', port, HERE)
+        return Member(self.name, 'agent', '127.0.0.1', port, LOCAL_PLACE)
 
     def _run(self) -> None:
         while True:
@@ -195,7 +200,7 @@
 
 
 class Fleet:
-    """A store and agents that know each other."""
+    """A weight store and agents that exchange chunks."""
 
     def __init__(self, case: unittest.TestCase, **store: Any) -> None:
         self.store = weight_store.WeightStore(**store)
@@ -207,7 +212,7 @@
         self._table = Table(0, MappingProxyType({}))
 
     def add(self, name: str, **options: Any) -> Agent:
-        """Start one more agent; `send_members` makes it known."""
+        """Start one more agent; `send_members` announces it to the others."""
         options.setdefault('store_url', self.store_url)
         agent = Agent(self._case, name, **options)
         self.agents[name] = agent
@@ -216,7 +221,7 @@
     def publish(
         self, seed: int = 1, chunks: int = 16, name: str = 'story'
     ) -> str:
-        """Put weights into the store and give their digest."""
+        """Publish weights to the store and return their digest."""
         return self.store.publish(
             {
                 'name': name,
@@ -227,7 +232,7 @@
         )
 
     def set_faults(self, **faults: Any) -> None:
-        """Set the faults of the store; none makes it whole."""
+        """Replace the faults of the store; without arguments, clear them."""
         body = json.dumps(faults).encode()
         reply = self.store.handle(
             serving.Request('POST', '/faults', {}, {}, body)
@@ -235,20 +240,22 @@
         self._case.assertEqual(200, reply.status)
 
     def send_members(self, relays: dict[str, int] | None = None) -> None:
-        """Tell everyone of all agents and of the others.
+        """Send the list of all agents and fake peers to each agent.
 
-        `relays` has ports by which agents of other regions are reached.
+        `relays` maps the name of an agent to the port at which agents of
+        other regions reach it.
         """
         known = [agent.member for agent in self.agents.values()]
         known.extend(self.others)
         for agent in self.agents.values():
             members = tuple(
-                _as_seen(member, agent.place, relays or {}) for member in known
+                _seen_from(member, agent.place, relays or {})
+                for member in known
             )
             agent.task.inbox.put(MembersChanged(members))
 
     def set_rows(self, *rows: Row) -> None:
-        """Put a new table in force at every agent."""
+        """Send a new table with these rows to every agent."""
         self._offset += 1
         entries = {key_of(row): Revisioned(row, self._offset) for row in rows}
         self._table = Table(self._offset, MappingProxyType(entries))
@@ -256,11 +263,11 @@
             agent.task.inbox.put(TableChanged(self._table))
 
     def send_table(self, agent: Agent) -> None:
-        """Put the present table in force at an agent that came later."""
+        """Send the current table to an agent that was added later."""
         agent.task.inbox.put(TableChanged(self._table))
 
     def wait_open(self, digest: str, *names: str) -> None:
-        """Wait until exactly this digest is open at these agents, or all."""
+        """Wait until only this digest is open at these agents, or at all."""
         for name in names or tuple(self.agents):
             self.wait_open_digests(self.agents[name], {digest})
 
@@ -269,33 +276,33 @@
         self.wait(lambda: agent.open_digests() == digests)
 
     def wait_loaded(self, agent: Agent, digests: set[str]) -> None:
-        """Wait until an agent's engine has exactly these loaded."""
+        """Wait until an agent's engine has exactly these digests loaded."""
         self.wait(lambda: agent.loaded() == digests)
 
     def wait_held_bytes(self, agent: Agent, size: int) -> None:
-        """Wait until an agent's copies take so many bytes."""
+        """Wait until an agent's copies take `size` bytes of memory."""
         self.wait(lambda: agent.task.held_bytes() == size)
 
     def wait(self, probe: Callable[[], bool]) -> None:
-        """Wait until something is the case; fails the test if it isn't."""
-        with gevent.Timeout(WAIT_S, AssertionError('did not happen')):
+        """Wait until the probe is true; fails the test if that takes long."""
+        with gevent.Timeout(WAIT_TIMEOUT_S, AssertionError('did not happen')):
             while not probe():
                 gevent.sleep(0.02)
 
     def origin_copies(self, digest: str) -> float:
-        """Give the bytes read from the store, in copies of a digest."""
-        stats = _ask(self.store.handle, '/stats')
+        """Return how many copies' worth of bytes were read from the store."""
+        stats = _get_json(self.store.handle, '/stats')
         read = stats['by_digest'].get(digest, 0)
         return read / self.store._weights[digest].size
 
 
-def _as_seen(member: Member, place: Place, relays: dict[str, int]) -> Member:
+def _seen_from(member: Member, place: Place, relays: dict[str, int]) -> Member:
     if member.place.region == place.region or member.name not in relays:
         return member
     return member._replace(port=relays[member.name])
 
 
-def _ask(handle: serving.Handler, path: str) -> Any:
+def _get_json(handle: serving.Handler, path: str) -> Any:
     reply = handle(serving.Request('GET', path, {}, {}, b''))
     assert isinstance(reply.body, bytes)
     return json.loads(reply.body)
--- a/packages/burdockchute-testing/burdockchute_testing/fakes/log.py
+++ b/packages/burdockchute-testing/burdockchute_testing/fakes/log.py
@@ -1,4 +1,4 @@
-"""The log service in memory, with the faults that the real one has."""
+"""An in-memory log service with the faults of the real one."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class FakeLog:
-    """One log with streams at offsets from 0.
+    """A log whose streams start at offset 0.
 
-    `down` makes every request fail; `lose_replies` is how many of the next
-    appends take effect but get no reply, `lose_appends` how many get none
-    without effect.
+    `down` makes every request fail. Of the next appends, `lose_replies` take
+    effect but get no reply, and `lose_appends` get no reply and take no
+    effect.
     """
 
     def __init__(self) -> None:
@@ -35,7 +35,7 @@
         self._appended = event.Event()
 
     def append(self, stream: str, data: str) -> Result[int, LogError]:
-        """Append one record and give its offset."""
+        """Append one record and return its offset."""
         self.appends += 1
         if self.down:
             return Failure(Unavailable('outage'))
@@ -54,7 +54,7 @@
     def read(
         self, stream: str, from_offset: int, max_records: int, wait_s: float
     ) -> Result[Batch, LogError]:
-        """Read records; waits up to `wait_s` while there are none."""
+        """Read records; waits up to `wait_s` seconds while there are none."""
         self.reads += 1
         if self.down:
             return Failure(Unavailable('outage'))
@@ -74,7 +74,7 @@
         return Success(Batch(found, from_offset + len(found)))
 
     def extent(self, stream: str) -> Result[Extent, LogError]:
-        """Give the offsets that the stream covers."""
+        """Return the earliest offset of the stream and the next one."""
         self.reads += 1
         if self.down:
             return Failure(Unavailable('outage'))
@@ -86,9 +86,9 @@
         )
 
     def trim(self, stream: str, earliest: int) -> None:
-        """Let retention pass every record before an offset."""
+        """Expire all records before an offset."""
         self._earliest[stream] = earliest
 
     def all_records(self, stream: str) -> list[str]:
-        """Give every record ever appended."""
+        """Return all records ever appended, including expired ones."""
         return list(self._streams.get(stream, []))
--- a/packages/burdockchute-testing/burdockchute_testing/fakes/relay.py
+++ b/packages/burdockchute-testing/burdockchute_testing/fakes/relay.py
@@ -1,7 +1,8 @@
-"""A relay between two processes that can lose track of connections.
+"""A TCP relay that can silently drop established connections.
 
-What stands between two ends, an address translator or a firewall, may forget
-connections: they stay open and carry nothing more, while new ones work.
+A device between two ends, such as a NAT gateway or a firewall, may lose its
+connection state: established connections stay open but carry no more bytes,
+while new ones work.
 """
 
 from __future__ import annotations
@@ -17,64 +18,61 @@
 
 
 class Relay:
-    """Passes bytes to a port of the loopback; `port` is its own."""
+    """Relays connections to a loopback port; `port` is its own port."""
 
     def __init__(self, target_port: int) -> None:
         self._target = (ADDRESS, target_port)
         self._pairs: list[_Pair] = []
         self._is_cut = False
-        self._server = server.StreamServer((ADDRESS, 0), self._take)
+        self._server = server.StreamServer((ADDRESS, 0), self._accept)
         self._server.start()
         self.port: int = self._server.server_port
 
-    def forget(self) -> int:
-        """Carry nothing more on the connections that are open.
-
-        Gives how many there were.
-        """
+    def silence(self) -> int:
+        """Carry no more bytes on open connections; return their number."""
         for pair in self._pairs:
             pair.silent = True
         return len(self._pairs)
 
     def cut(self) -> None:
-        """Carry nothing more, on new connections neither.
+        """Carry no more bytes on open and on new connections.
 
-        So a region looks that is cut off.
+        This is how a region looks that is partitioned from the others.
         """
         self._is_cut = True
-        self.forget()
+        self.silence()
 
     def restore(self) -> None:
-        """Carry bytes of new connections again; the old ones are lost."""
+        """Carry bytes of new connections again; earlier ones stay silent."""
         self._is_cut = False
 
     def close(self) -> None:
-        """Close everything."""
+        """Stop listening and close all connections."""
         self._server.stop(timeout=0)
         for pair in self._pairs:
             pair.close()
 
-    def _take(self, near: Any, _address: Any) -> None:
+    def _accept(self, client_socket: Any, _address: Any) -> None:
         try:
-            far = socket.create_connection(self._target)
+            target_socket = socket.create_connection(self._target)
         except OSError:
-            near.close()
+            client_socket.close()
             return
-        pair = _Pair(near, far)
+        pair = _Pair(client_socket, target_socket)
         pair.silent = self._is_cut
         self._pairs.append(pair)
         gevent.joinall(
             [
-                gevent.spawn(pair.carry, near, far),
-                gevent.spawn(pair.carry, far, near),
+                gevent.spawn(pair.carry, client_socket, target_socket),
+                gevent.spawn(pair.carry, target_socket, client_socket),
             ]
         )
 
 
 class _Pair:
-    def __init__(self, near: Any, far: Any) -> None:
+    def __init__(self, client_socket: Any, target_socket: Any) -> None:
         self.silent = False
-        self._ends = (near, far)
+        self._ends = (client_socket, target_socket)
 
     def carry(self, source: Any, sink: Any) -> None:
         try:
--- a/packages/burdockchute-testing/tests/test_agent_process.py
+++ b/packages/burdockchute-testing/tests/test_agent_process.py
@@ -91,7 +91,7 @@
         self.start_engine()
         digest = self.open_model()
         self.system['a1'].terminate()
-        self.entry.wait_leaving()
+        self.entry.wait_shutdown_report()
         gevent.sleep(CROSSING_S)
         self.send('r1', digest)
         (refusal,) = self.entry.messages_of('r1')
--- a/packages/burdockchute-testing/tests/test_failures.py
+++ b/packages/burdockchute-testing/tests/test_failures.py
@@ -228,7 +228,7 @@
         site = self.start(relayed=['m1'])
         running = self.traffic('silent')
         gevent.sleep(FAULT_AFTER_S)
-        self.assertGreaterEqual(site.relays['m1'].forget(), 2)
+        self.assertGreaterEqual(site.relays['m1'].silence(), 2)
         made = finish(running)
         self.assert_sound()
         plain = [call for call in made if not call.spec.stream]
