--- a/packages/burdockchute-testing/burdockchute_testing/emulator/__init__.py
+++ b/packages/burdockchute-testing/burdockchute_testing/emulator/__init__.py
@@ -1,5 +1,5 @@
-"""Engines, entries and callers in a time of their own.
+"""Simulation of engines, entries and callers.
 
-The entries decide by the product's own modules; everything else is a model.
-No sockets, no processes, and no clock but the one of the run.
+The entries run the product's own decision modules; everything else is a
+model. The simulation uses no sockets, processes or real clock.
 """
--- a/packages/burdockchute-testing/burdockchute_testing/emulator/deployments.py
+++ b/packages/burdockchute-testing/burdockchute_testing/emulator/deployments.py
@@ -1,6 +1,6 @@
 """Deployments of the sizes that the product has to serve.
 
-Figures of engines are those that operators publish for theirs.
+The engines' costs are those that operators publish for their engines.
 """
 
 from __future__ import annotations
@@ -9,14 +9,14 @@
 from burdockchute_testing.emulator.site import Deployment
 from burdockchute_testing.emulator.site import Shape
 
-# Long prompts with short answers and the other way round, as in an evening
-# that swings between them.
+# Long prompts with short answers, and short prompts with long answers: the
+# load of an evening may alternate between the two.
 LONG_PROMPTS = (Shape(1900.0, 35.0, 0.6, 1.0),)
 LONG_ANSWERS = (Shape(350.0, 130.0, 0.6, 1.0),)
 
 
 def small(entries: int = 5, engines: int = 6) -> Deployment:
-    """Give a site of a few large engines."""
+    """Return a site of a few large engines."""
     return Deployment(
         entries,
         engines,
@@ -31,7 +31,7 @@
 
 
 def grown(entries: int = 14, engines: int = 20) -> Deployment:
-    """Give a site of some dozens of machines."""
+    """Return a medium site, of some dozens of machines."""
     return Deployment(
         entries,
         engines,
@@ -46,7 +46,7 @@
 
 
 def large(entries: int = 36, engines: int = 60) -> Deployment:
-    """Give a site of a hundred machines."""
+    """Return a site of about a hundred machines."""
     return Deployment(
         entries,
         engines,
--- a/packages/burdockchute-testing/burdockchute_testing/emulator/network.py
+++ b/packages/burdockchute-testing/burdockchute_testing/emulator/network.py
@@ -1,4 +1,4 @@
-"""Links that copies of weights share, in simulated time."""
+"""Network links shared by transfers of weights, in simulated time."""
 
 from __future__ import annotations
 
@@ -14,26 +14,32 @@
 
 
 class Fleet(NamedTuple):
-    """Agents and links; `origin_away` gives the times when it refuses."""
+    """Agents, versions and links.
+
+    Bandwidths are in Mbit/s: `agent_mbit` of an agent's uplink and downlink,
+    `region_mbit` of a link between regions. A new version is due every
+    `version_interval_s` seconds. `origin_outages` are the intervals, each a
+    start and an end in seconds, in which the origin refuses connections.
+    """
 
     agents: int = 23
     regions: int = 3
-    side_mbit: float = 4.7
+    agent_mbit: float = 4.7
     region_mbit: float = 15.0
     origin_mbit: float = 9.0
     chunks: int = 48
     chunk_bytes: int = 49_152
-    version_s: float = 9.7
-    origin_away: Sequence[tuple[float, float]] = ()
+    version_interval_s: float = 9.7
+    origin_outages: Sequence[tuple[float, float]] = ()
 
 
-def between(here: str, there: str) -> str:
-    """Give the link from one region to another."""
+def region_link(here: str, there: str) -> str:
+    """Return the name of the link from one region to another."""
     return f'{here}>{there}'
 
 
 class _Transfer:
-    """Bytes on their way over several links at a time."""
+    """Bytes in transit over several links at once."""
 
     def __init__(
         self,
@@ -43,13 +49,13 @@
         failed: Callable[[], None],
     ) -> None:
         self.links = links
-        self.left = float(size)
+        self.remaining = float(size)
         self.arrived = arrived
         self.failed = failed
 
 
 class Network:
-    """What is on its way; each link is shared evenly by what goes over it."""
+    """Transfers in progress; the transfers over a link share it evenly."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
@@ -62,35 +68,39 @@
         arrived: Callable[[], None],
         failed: Callable[[], None],
     ) -> None:
-        """Send bytes over all these links."""
+        """Start a transfer over all these links at the slowest one's rate."""
         self._transfers.append(_Transfer(links, size, arrived, failed))
 
-    def origin_is_away(self, now: float) -> bool:
-        """Tell whether the origin refuses connections."""
-        return any(a <= now < b for a, b in self._fleet.origin_away)
+    def origin_is_unavailable(self, now: float) -> bool:
+        """Whether the origin refuses connections."""
+        return any(a <= now < b for a, b in self._fleet.origin_outages)
 
-    def move(self, now: float, step_s: float) -> None:
-        """Let pass what the links carry in a time."""
-        if self.origin_is_away(now):
+    def advance(self, now: float, step_s: float) -> None:
+        """Advance all transfers by `step_s` seconds."""
+        if self.origin_is_unavailable(now):
             self._fail_reads()
         users: dict[str, int] = {}
         for transfer in self._transfers:
             for link in transfer.links:
                 users[link] = users.get(link, 0) + 1
-        going: list[_Transfer] = []
-        came: list[_Transfer] = []
+        in_transit: list[_Transfer] = []
+        arrived_transfers: list[_Transfer] = []
         for transfer in self._transfers:
             rate = min(self._capacity(k) / users[k] for k in transfer.links)
-            transfer.left -= rate * step_s
-            (going if transfer.left > 0 else came).append(transfer)
-        self._transfers = going
-        for transfer in came:
+            transfer.remaining -= rate * step_s
+            (
+                in_transit if transfer.remaining > 0 else arrived_transfers
+            ).append(transfer)
+        self._transfers = in_transit
+        for transfer in arrived_transfers:
             transfer.arrived()
 
     def _fail_reads(self) -> None:
-        lost = [t for t in self._transfers if ORIGIN in t.links]
-        self._transfers = [t for t in self._transfers if t not in lost]
-        for transfer in lost:
+        failed_transfers = [t for t in self._transfers if ORIGIN in t.links]
+        self._transfers = [
+            t for t in self._transfers if t not in failed_transfers
+        ]
+        for transfer in failed_transfers:
             transfer.failed()
 
     def _capacity(self, link: str) -> float:
@@ -99,4 +109,4 @@
             return fleet.origin_mbit * MBIT_BYTES
         if '>' in link:
             return fleet.region_mbit * MBIT_BYTES
-        return copy_rates.CAP_SHARE * fleet.side_mbit * MBIT_BYTES
+        return copy_rates.CAP_SHARE * fleet.agent_mbit * MBIT_BYTES
--- a/packages/burdockchute-testing/burdockchute_testing/emulator/site.py
+++ b/packages/burdockchute-testing/burdockchute_testing/emulator/site.py
@@ -1,4 +1,4 @@
-"""A site: callers, entries that don't see each other's work, and engines."""
+"""A site of callers, engines, and entries that don't share their state."""
 
 from __future__ import annotations
 
@@ -37,19 +37,22 @@
 from burdockchute_testing.emulator.clock import Clock
 from burdockchute_testing.emulator.engines import Engine
 from burdockchute_testing.emulator.engines import Job
-from burdockchute_testing.emulator.engines import WAY_S
+from burdockchute_testing.emulator.engines import NETWORK_DELAY_S
 
 SERVICE = 'drafts'
 MODEL = 'story'
 BOUNDS = Bounds(2.0, 8.0, 2.0, 8.0, 3.0, 0.2, 10.0, 100.0)
-FILL_S = 0.1
+ASSIGN_INTERVAL_S = 0.1
 DEADLINE_S = 6.0
-# Callers have up to this part less time than the most patient ones.
-PATIENCE_SPREAD = 0.15
+# Deadlines are shorter than `DEADLINE_S` by a random share up to this.
+DEADLINE_SPREAD = 0.15
 
 
 class Shape(NamedTuple):
-    """A kind of request: mean tokens, seconds to its first event, weight."""
+    """A kind of request: mean token counts, objective and relative frequency.
+
+    `objective_s` is the time in which the first event has to come.
+    """
 
     prompt_tokens: float
     answer_tokens: float
@@ -58,7 +61,7 @@
 
 
 class Deployment(NamedTuple):
-    """The parts of a site; `queue` requests may wait at each engine."""
+    """The parts of a site; up to `queue` requests wait at each engine."""
 
     entries: int
     engines: int
@@ -69,42 +72,45 @@
 
 
 class Result(NamedTuple):
-    """What callers got, as counts; who still waits is only among the asked.
+    """Numbers of requests by outcome.
 
-    `refused_again` are those who came back as told.
+    Requests that still wait are counted in `total` only. `refused_twice`
+    counts those that were refused and, after the wait that they were given,
+    refused once more.
     """
 
-    asked: int
+    total: int
     on_time: int
     late: int
     refused: int
-    refused_again: int
+    refused_twice: int
 
 
 class _Call:
-    """One caller's request with what it spent on earlier sendings."""
+    """One caller's request, across all its attempts."""
 
     def __init__(self, site: Site, shape: Shape) -> None:
         rng = site.rng
         self.shape = shape
-        self.began = site.clock.now
-        patience = 1.0 - PATIENCE_SPREAD * rng.random()
-        self.deadline = self.began + DEADLINE_S * patience
+        self.started_at = site.clock.now
+        deadline_share = 1.0 - DEADLINE_SPREAD * rng.random()
+        self.deadline = self.started_at + DEADLINE_S * deadline_share
         self.prompt_tokens = max(
             16, int(rng.gammavariate(1.5, 1 / 1.5) * shape.prompt_tokens)
         )
         self.answer_tokens = max(
             5, int(rng.gammavariate(1.5, 1 / 1.5) * shape.answer_tokens)
         )
-        self.tries = 0
+        self.attempts = 0
         self.outcome = ''
         self.name = ''
 
 
 class Site:
-    """One run; `rate` gives the callers a second at a time.
+    """One run; `rate` returns the requests per second at a time.
 
-    `shapes` at a time may be given, for loads that swing.
+    `shapes` returns the kinds of requests at a time, for loads that change;
+    by default they are those of the deployment.
     """
 
     def __init__(
@@ -118,14 +124,14 @@
         self.rng = random.Random(seed)
         self.deployment = deployment
         self.calls: list[_Call] = []
-        self.begins_s: list[float] = []
+        self.first_event_delays_s: list[float] = []
         self.engines = [
             Engine(
                 self.clock,
                 deployment.cost,
                 deployment.slots,
                 deployment.queue,
-                functools.partial(self._told, number),
+                functools.partial(self._on_report, number),
                 self.rng.random() * 0.2,
             )
             for number in range(deployment.engines)
@@ -137,17 +143,17 @@
         self.clock.after(0.0, self._arrive)
 
     def open_engines(self, numbers: Sequence[int], at_s: float = 0.0) -> None:
-        """Have engines take requests from a time on."""
+        """Let engines accept requests from a time on."""
         for number in numbers:
             self.clock.after(at_s, self.engines[number].open)
 
     def run(self, until_s: float) -> None:
-        """Play up to a time."""
+        """Run the simulation up to a time."""
         self.clock.run_until(until_s)
 
     def result(self, first_s: float, last_s: float) -> Result:
-        """Count what came of those who began between two times."""
-        calls = [c for c in self.calls if first_s <= c.began < last_s]
+        """Count the outcomes of the requests that started in an interval."""
+        calls = [c for c in self.calls if first_s <= c.started_at < last_s]
         counts = [
             sum(call.outcome == name for call in calls)
             for name in ('on time', 'late', 'refused', 'again')
@@ -155,8 +161,8 @@
         return Result(len(calls), *counts)
 
     def send(self, call: _Call) -> None:
-        """Send a call to one of the entries."""
-        call.tries += 1
+        """Send a call to a random entry."""
+        call.attempts += 1
         call.name = f'q-{next(self._names)}'
         self.rng.choice(self.entries).arrive(call)
 
@@ -169,13 +175,13 @@
         self.send(call)
         self.clock.after(self.rng.expovariate(self._rate(now)), self._arrive)
 
-    def _told(self, number: int, in_hand: int) -> None:
+    def _on_report(self, number: int, request_count: int) -> None:
         for entry in self.entries:
-            entry.told(number, in_hand)
+            entry.on_report(number, request_count)
 
 
 class _Entry:
-    """One entry: the product's scheduler, and the calls that wait in it."""
+    """One entry: the product's scheduler and the calls that wait in it."""
 
     def __init__(self, site: Site) -> None:
         self._site = site
@@ -184,19 +190,19 @@
         self.scheduler = Scheduler(BOUNDS, lambda: site.clock.now, rng)
         self.scheduler.update(_known_state_of(site.deployment))
         self._waiting: dict[str, tuple[_Call, PendingRequest, Plan, int]] = {}
-        self._clock.after(rng.random() * FILL_S, self._tick)
+        self._clock.after(rng.random() * ASSIGN_INTERVAL_S, self._tick)
 
-    def told(self, number: int, in_hand: int) -> None:
+    def on_report(self, number: int, request_count: int) -> None:
         deployment = self._site.deployment
         report = messages.LoadReport(
-            running=in_hand,
-            waiting=max(0, in_hand - deployment.slots),
+            running=request_count,
+            waiting=max(0, request_count - deployment.slots),
             slots=deployment.slots,
             weights=[messages.WeightsState(digest=f'{MODEL}@1')],
             entries=deployment.entries,
         )
         self.scheduler.apply_load_report(str(_address(number)), report)
-        self._clock.after(0.01, self._fill)
+        self._clock.after(0.01, self._assign)
 
     def arrive(self, call: _Call) -> None:
         now, deadline = self._clock.now, call.deadline
@@ -209,8 +215,8 @@
             max_tokens=int(call.shape.answer_tokens),
         )
         work = Work(admission.cost_of(ctx), False, ctx.prompt_tokens, ())
-        spent_s = returning_callers.elapsed_s(DEADLINE_S, deadline - now)
-        spec = RequestSpec(SERVICE, MODEL, call.shape.objective_s, spent_s)
+        elapsed_s = returning_callers.elapsed_s(DEADLINE_S, deadline - now)
+        spec = RequestSpec(SERVICE, MODEL, call.shape.objective_s, elapsed_s)
         pending = PendingRequest(ctx, work, spec)
         plan = self.scheduler.plan(pending, deadline)
         if isinstance(plan, NotRun):
@@ -227,25 +233,28 @@
             if wait_s is not None:
                 self._waiting[call.name] = (call, pending, plan, number)
                 self._clock.after(
-                    wait_s, functools.partial(self._over, call.name, number)
+                    wait_s,
+                    functools.partial(
+                        self._stage_timed_out, call.name, number
+                    ),
                 )
-                self._collect()
+                self._collect_slots()
                 return
             number += 1
         self.scheduler.stop_waiting(pending)
         waited_s = self._clock.now - pending.ctx.arrived
         self._refuse(call, no_slot_in_time(waited_s, plan))
 
-    def _over(self, name: str, number: int) -> None:
-        found = self._waiting.get(name)
-        if found is None or found[3] != number:
+    def _stage_timed_out(self, name: str, number: int) -> None:
+        waiting = self._waiting.get(name)
+        if waiting is None or waiting[3] != number:
             return
         del self._waiting[name]
-        call, pending, plan, _number = found
+        call, pending, plan, _number = waiting
         plan.stages[number].queue.remove(name)
         self._next_stage(call, pending, plan, number + 1)
 
-    def _collect(self) -> None:
+    def _collect_slots(self) -> None:
         for name, (call, pending, _plan, _n) in list(self._waiting.items()):
             if not pending.slot.ready():
                 continue
@@ -263,43 +272,48 @@
         number = int(slot.target.id.removeprefix('i-'))
         sent_at = self._clock.now
 
-        def begun() -> None:
+        def started() -> None:
             now = self._clock.now
-            self._site.begins_s.append(now - sent_at)
+            self._site.first_event_delays_s.append(now - sent_at)
             self.scheduler.mark_started(pending, slot)
-            on_time = now - call.began <= call.shape.objective_s
+            on_time = now - call.started_at <= call.shape.objective_s
             call.outcome = 'on time' if on_time else 'late'
-            self._collect()
+            self._collect_slots()
 
-        def ended() -> None:
+        def finished() -> None:
             self.scheduler.mark_answered(
                 pending, slot, self._clock.now - sent_at
             )
-            self._collect()
+            self._collect_slots()
 
         def arrive() -> None:
-            job = Job(call.prompt_tokens, call.answer_tokens, begun, ended)
-            if not self._site.engines[number].take(job):
+            job = Job(
+                call.prompt_tokens, call.answer_tokens, started, finished
+            )
+            if not self._site.engines[number].accept(job):
                 self.scheduler.mark_failed(
                     pending, slot, self._clock.now - sent_at
                 )
                 self._refuse(call, NotRun('full', 503, 0.1))
 
-        self._clock.after(WAY_S, arrive)
+        self._clock.after(NETWORK_DELAY_S, arrive)
 
     def _refuse(self, call: _Call, reply: NotRun) -> None:
-        call.outcome = 'refused' if call.tries == 1 else 'again'
+        call.outcome = 'refused' if call.attempts == 1 else 'again'
         wait_s = reply.retry_after_s
-        if call.tries == 1 and self._clock.now + wait_s < call.deadline - 1.0:
+        if (
+            call.attempts == 1
+            and self._clock.now + wait_s < call.deadline - 1.0
+        ):
             self._clock.after(wait_s, lambda: self._site.send(call))
 
-    def _fill(self) -> None:
+    def _assign(self) -> None:
         self.scheduler.assign_free_slots()
-        self._collect()
+        self._collect_slots()
 
     def _tick(self) -> None:
-        self._fill()
-        self._clock.after(FILL_S, self._tick)
+        self._assign()
+        self._clock.after(ASSIGN_INTERVAL_S, self._tick)
 
 
 def _address(number: int) -> Endpoint:
--- a/packages/burdockchute-testing/tests/test_emulator.py
+++ b/packages/burdockchute-testing/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""Loads at their worst, played against the product's own decisions."""
+"""Extreme loads, simulated with the product's own decision modules."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from burdockchute_testing.emulator import deployments
 from burdockchute_testing.emulator.site import Site
 
-# What the engines of the deployments carry, in requests a second.
-SMALL_CARRIES = 54.0
-GROWN_CARRIES = 185.0
+# Capacity of the engines of the deployments, in requests per second.
+SMALL_CAPACITY = 54.0
+GROWN_CAPACITY = 185.0
 
 
 class EmulatorTest(unittest.TestCase):
     def setUp(self):
-        # Lines of some thousand requests tell nothing here.
+        # The log lines of some thousand requests are of no use here.
         quiet = mock.patch.object(logs, 'event', autospec=True)
         quiet.start()
         self.addCleanup(quiet.stop)
 
-    def play(self, deployment, rate, until_s=8.0, shapes=None, seed=1):
+    def simulate(self, deployment, rate, until_s=8.0, shapes=None, seed=1):
         site = Site(deployment, rate, seed, shapes)
         site.open_engines(range(deployment.engines))
         site.run(until_s + 5.0)
@@ -30,88 +30,88 @@
 
 class SharingTest(EmulatorTest):
     def test_entries_do_not_all_choose_the_engine_that_looks_emptiest(self):
-        """Fourteen entries see the same reports and not each other's work.
+        """Fourteen entries get the same reports but not each other's requests.
 
-        The engine with the least load in a report got everybody's requests
-        until the next one: of 100 callers 21 were late at 0.7 of what the
-        engines carry.
+        The engine with the least reported load got the requests of all
+        entries until the next report: at 0.7 of the engines' capacity, 21 of
+        100 requests were late.
         """
-        result = self.play(
-            deployments.grown(), lambda now: 0.7 * GROWN_CARRIES, 6.0
+        result = self.simulate(
+            deployments.grown(), lambda now: 0.7 * GROWN_CAPACITY, 6.0
         )
-        self.assertGreater(result.on_time, 0.9 * result.asked)
+        self.assertGreater(result.on_time, 0.9 * result.total)
 
 
 class OverloadTest(EmulatorTest):
     def test_engines_go_on_serving_on_time_in_a_lasting_overload(self):
-        """More callers than the engines carry, for seconds.
+        """The load exceeds the engines' capacity for seconds.
 
-        Callers past their objective kept the engines full, and those who
-        came new were late behind them: half as many were on time as the
-        engines can carry.
+        Requests past their objective kept the engines full, so that new ones
+        behind them were late as well: only half as many requests were on
+        time as the engines' capacity allows.
         """
         for load in (1.2, 1.7):
             with self.subTest(load=load):
-                result = self.play(
-                    deployments.small(), lambda now, x=load: x * SMALL_CARRIES
+                result = self.simulate(
+                    deployments.small(), lambda now, x=load: x * SMALL_CAPACITY
                 )
-                a_second = result.on_time / 6.0
-                self.assertGreater(a_second, 0.68 * SMALL_CARRIES)
+                per_second = result.on_time / 6.0
+                self.assertGreater(per_second, 0.68 * SMALL_CAPACITY)
 
     def test_many_entries_serve_on_time_in_a_lasting_overload(self):
-        """A standing queue in each engine made nearly everybody late."""
-        result = self.play(
-            deployments.grown(), lambda now: 1.2 * GROWN_CARRIES, 6.0
+        """A standing queue in each engine made nearly all requests late."""
+        result = self.simulate(
+            deployments.grown(), lambda now: 1.2 * GROWN_CAPACITY, 6.0
         )
-        self.assertGreater(result.on_time / 4.0, 0.65 * GROWN_CARRIES)
+        self.assertGreater(result.on_time / 4.0, 0.65 * GROWN_CAPACITY)
 
     def test_a_swing_between_long_prompts_and_long_answers(self):
-        """An evening that swings each two seconds, at its worst load."""
+        """The load alternates every two seconds, above the capacity."""
 
         def shapes(now):
             if now % 4.0 < 2.0:
                 return deployments.LONG_PROMPTS
             return deployments.LONG_ANSWERS
 
-        result = self.play(
+        result = self.simulate(
             deployments.small(),
-            lambda now: 1.2 * SMALL_CARRIES,
+            lambda now: 1.2 * SMALL_CAPACITY,
             10.0,
             shapes,
         )
-        self.assertGreater(result.on_time / 8.0, 0.6 * SMALL_CARRIES)
+        self.assertGreater(result.on_time / 8.0, 0.6 * SMALL_CAPACITY)
 
     def test_the_late_are_served_when_a_burst_is_over(self):
-        """A burst of a second; nobody has to be turned away for good."""
+        """After a burst of a second, most overdue requests get served."""
 
         def rate(now):
-            return SMALL_CARRIES * (2.5 if 3.0 <= now < 4.0 else 0.5)
+            return SMALL_CAPACITY * (2.5 if 3.0 <= now < 4.0 else 0.5)
 
-        lost = asked = on_time = 0
+        lost = request_count = on_time = 0
         for seed in range(1, 5):
-            result = self.play(deployments.small(), rate, 6.0, seed=seed)
-            lost += result.refused + result.refused_again
-            asked += result.asked
+            result = self.simulate(deployments.small(), rate, 6.0, seed=seed)
+            lost += result.refused + result.refused_twice
+            request_count += result.total
             on_time += result.on_time
-        self.assertLess(lost, 0.13 * asked)
-        self.assertGreater(on_time, 0.6 * asked)
+        self.assertLess(lost, 0.13 * request_count)
+        self.assertGreater(on_time, 0.6 * request_count)
 
 
 class ModelTest(EmulatorTest):
     def test_a_run_is_the_same_each_time(self):
-        """A seed that finds a fault has to find it again."""
+        """A seed that reveals a fault has to reveal it in each run."""
         results = [
-            self.play(deployments.small(), lambda now: SMALL_CARRIES, 4.0)
+            self.simulate(deployments.small(), lambda now: SMALL_CAPACITY, 4.0)
             for _time in range(2)
         ]
         self.assertEqual(*results)
 
     def test_little_load_is_on_time(self):
-        """A model that is late when idle tells nothing of policies."""
-        result = self.play(
-            deployments.small(), lambda now: 0.3 * SMALL_CARRIES
+        """A model that is late when idle can't be used to judge policies."""
+        result = self.simulate(
+            deployments.small(), lambda now: 0.3 * SMALL_CAPACITY
         )
-        self.assertGreater(result.on_time, 0.95 * result.asked)
+        self.assertGreater(result.on_time, 0.95 * result.total)
 
 
 if __name__ == '__main__':
