--- a/packages/burdockchute-testing/burdockchute_testing/fake_weights.py
+++ b/packages/burdockchute-testing/burdockchute_testing/fake_weights.py
@@ -13,7 +13,7 @@
 
 import blake3
 
-_WALK_BYTES = 1024 * 1024
+_PIECE_BYTES = 1024 * 1024
 
 
 class Weights(NamedTuple):
@@ -26,21 +26,21 @@
 
 
 def read(weights: Weights, start: int, stop: int) -> bytes:
-    """Give the bytes from start up to, not including, stop."""
+    """Return the bytes from start up to, not including, stop."""
     stop = min(stop, weights.size)
     label = f'{weights.name}\0{weights.size}\0{weights.seed}'
     source = blake3.blake3(label.encode())
     return source.digest(length=max(0, stop - start), seek=start)
 
 
-def walk(weights: Weights, start: int = 0) -> Iterator[bytes]:
-    """Give all bytes from start in pieces."""
-    for at in range(start, weights.size, _WALK_BYTES):
-        yield read(weights, at, at + _WALK_BYTES)
+def read_pieces(weights: Weights, start: int = 0) -> Iterator[bytes]:
+    """Return all bytes from start in pieces."""
+    for at in range(start, weights.size, _PIECE_BYTES):
+        yield read(weights, at, at + _PIECE_BYTES)
 
 
 def manifest_of(weights: Weights) -> dict[str, Any]:
-    """Give the manifest with its root digest."""
+    """Return the manifest with its root digest."""
     manifest: dict[str, Any] = {
         'name': weights.name,
         'size': weights.size,
@@ -56,12 +56,12 @@
 
 
 def root_digest(manifest: dict[str, Any]) -> str:
-    """Give blake3 of the canonical manifest without its digest."""
+    """Return blake3 of the canonical manifest without its digest."""
     return blake3.blake3(canonical(manifest)).hexdigest()
 
 
 def canonical(manifest: dict[str, Any]) -> bytes:
-    """Give the bytes that the root digest is taken over."""
+    """Return the bytes that the root digest is taken over."""
     rest = {k: v for k, v in manifest.items() if k != 'digest'}
     text = json.dumps(
         rest, sort_keys=True, separators=(',', ':'), ensure_ascii=False
--- a/packages/burdockchute-testing/burdockchute_testing/history.py
+++ b/packages/burdockchute-testing/burdockchute_testing/history.py
@@ -37,7 +37,7 @@
     text: str
     start: float
     end: float | None
-    how: str
+    state: str
     digest: str = ''
     adapter_digest: str = ''
 
@@ -65,7 +65,7 @@
 
 
 def check(history: History) -> list[Finding]:
-    """Give every breach, in the order of their places."""
+    """Return every breach, in the order of their places."""
     by_marker = _runs_by_marker(history)
     known = {c.request_id for c in history.calls if c.request_id}
     found: list[Finding] = []
@@ -81,7 +81,7 @@
 
 
 def runs_of(records: Iterable[Mapping[str, Any]]) -> tuple[Run, ...]:
-    """Give the runs from the records of stand-in upstreams."""
+    """Return the runs from the records of stand-in upstreams."""
     return tuple(
         Run(
             upstream=record['upstream'],
@@ -89,7 +89,7 @@
             text=record.get('prompt', record.get('body', '')),
             start=record['start'],
             end=record['end'],
-            how=record['how'],
+            state=record['how'],
             digest=record['digest'],
             adapter_digest=record.get('adapter_digest', ''),
         )
@@ -198,13 +198,13 @@
             late = run.start - graceful_stop.at
             yield Finding(place, f'began {late:.1f} s after leaving began')
         in_flight = run.end is None or run.end >= graceful_stop.at
-        if in_flight and run.how != recording.FINISHED:
-            yield Finding(place, f'was cut off by leaving: {run.how}')
+        if in_flight and run.state != recording.FINISHED:
+            yield Finding(place, f'was cut off by leaving: {run.state}')
 
 
 def _made(run: Run, call: Call) -> bool:
     return (
-        run.how == recording.FINISHED
+        run.state == recording.FINISHED
         and run.digest == call.digest
         and run.adapter_digest == call.adapter_digest
     )
--- a/packages/burdockchute-testing/burdockchute_testing/standins/__init__.py
+++ b/packages/burdockchute-testing/burdockchute_testing/standins/__init__.py
@@ -1,6 +1,6 @@
-"""Stand-ins for the platform and the upstreams, each a process of its own.
+"""Stand-ins for the platform and the upstreams, each a separate process.
 
-They follow docs/design/interfaces.md and are never shipped.
+They implement docs/design/interfaces.md and are never shipped.
 """
 
 from __future__ import annotations
--- a/packages/burdockchute-testing/burdockchute_testing/standins/batch.py
+++ b/packages/burdockchute-testing/burdockchute_testing/standins/batch.py
@@ -1,9 +1,9 @@
-"""How the stand-in engine spends its slots.
+"""Continuous batching in the stand-in engine.
 
-Requests join and leave the batch at any token. A prompt is worked through
-before its first token; prompts share one rate, one after the other, and a
-cached prefix costs nothing. Waiting requests are let in by priority, then
-by arrival.
+Requests join and leave the batch at any token. A prompt is processed before
+its first token; prompts are processed one after the other at a common rate,
+and a cached prefix costs nothing. Waiting requests get a slot by priority,
+then in order of arrival.
 """
 
 from __future__ import annotations
@@ -23,9 +23,10 @@
 
 
 class EngineProfile(NamedTuple):
-    """How fast an engine is.
+    """Speed and capacity of an engine.
 
-    With all slots taken a token takes `batch_cost` of the interval longer.
+    With all slots in use, a token takes longer by the share `batch_cost` of
+    `token_interval_s`; with fewer, proportionally less.
     """
 
     slots: int = 8
@@ -36,7 +37,7 @@
 
 
 class Work(NamedTuple):
-    """One request as the batch needs it."""
+    """The parameters of one request."""
 
     request_id: str
     model: str
@@ -48,24 +49,27 @@
 
 
 class Run:
-    """One request in the engine, its tokens so far and how it ended."""
+    """One request in the engine, with its tokens so far and its end state.
+
+    `readers` counts the streams that read the tokens.
+    """
 
     def __init__(self, work: Work, record: dict[str, Any]) -> None:
         self.work = work
         self.record = record
         self.texts: list[str] = []
         self.cached_tokens = 0
-        self.how = recording.RUNNING
+        self.state = recording.RUNNING
         self.readers = 0
         self._changed = event.Event()
 
     @property
     def ended(self) -> bool:
-        """Whether no more tokens will come."""
-        return self.how != recording.RUNNING
+        """Whether the run has ended, so that no more tokens follow."""
+        return self.state != recording.RUNNING
 
     def add(self, text: str) -> None:
-        """Add one token and wake its readers."""
+        """Add one token and wake the readers."""
         self.texts.append(text)
         self.wake()
 
@@ -75,7 +79,7 @@
         self._changed = event.Event()
 
     def tokens(self, start: int) -> Iterator[tuple[int, str]]:
-        """Give index and text of each token from start until the end."""
+        """Yield index and text of the tokens from `start` to the run's end."""
         index = start
         while True:
             while index < len(self.texts):
@@ -87,7 +91,7 @@
 
 
 class Batch:
-    """The slots, who holds them and who waits."""
+    """The running requests and the queue of waiting ones."""
 
     def __init__(
         self,
@@ -109,15 +113,15 @@
         self._prefill_free_at = 0.0
 
     def running(self) -> int:
-        """Give how many slots are taken."""
+        """Return the number of slots in use."""
         return len(self._running)
 
     def waiting(self) -> int:
-        """Give how many requests wait for a slot."""
+        """Return the number of requests that wait for a slot."""
         return sum(1 for *_order, run in self._waiting if not run.ended)
 
     def submit(self, work: Work) -> Run | None:
-        """Take a request; None if the queue is full."""
+        """Accept a request; returns None if the queue is full."""
         full = len(self._running) >= self.profile.slots
         if full and self.waiting() >= self.profile.max_waiting:
             return None
@@ -128,7 +132,7 @@
         return run
 
     def record(self, work: Work) -> dict[str, Any]:
-        """Record that a request is taken on."""
+        """Record the start of a request in the history."""
         return self._recording.start(
             work.request_id,
             model=work.model,
@@ -138,16 +142,16 @@
             max_tokens=work.max_tokens,
         )
 
-    def end(self, run: Run, how: str) -> None:
-        """End a run; the first end stands."""
+    def end(self, run: Run, state: str) -> None:
+        """End a run; has no effect on a run that has ended."""
         if run.ended:
             return
-        run.how = how
-        self._recording.end(run.record, how)
+        run.state = state
+        self._recording.end(run.record, state)
         run.wake()
 
-    def break_runs_of(self, digest: str) -> None:
-        """End the runs whose weights are gone."""
+    def break_runs_using(self, digest: str) -> None:
+        """End the runs that use unloaded weights."""
         for run in self._all():
             if digest in (run.work.digest, run.work.adapter_digest):
                 self.end(run, recording.BROKEN)
@@ -179,7 +183,7 @@
             f'{work.digest}+{work.adapter_digest}', work.prompt, now
         )
         new = max(0, len(work.prompt.split()) - run.cached_tokens)
-        cost = new / self.profile.prefill_tokens_per_s * self._slow()
+        cost = new / self.profile.prefill_tokens_per_s * self._slowdown()
         self._prefill_free_at = max(now, self._prefill_free_at) + cost
         gevent.sleep(self._prefill_free_at - now)
 
@@ -202,9 +206,9 @@
     def _interval_s(self) -> float:
         load = len(self._running) / self.profile.slots
         factor = 1 + self.profile.batch_cost * load
-        return self.profile.token_interval_s * factor * self._slow()
+        return self.profile.token_interval_s * factor * self._slowdown()
 
-    def _slow(self) -> float:
+    def _slowdown(self) -> float:
         return self._faults()['slow']
 
     def _stall(self, index: int) -> None:
--- a/packages/burdockchute-testing/burdockchute_testing/standins/engine.py
+++ b/packages/burdockchute-testing/burdockchute_testing/standins/engine.py
@@ -1,4 +1,4 @@
-"""A model engine that batches continuously, without a model in it."""
+"""A stand-in for a model engine with continuous batching."""
 
 from __future__ import annotations
 
@@ -20,30 +20,31 @@
 from burdockchute_testing.standins import serving
 
 CRASH_STATUS = 17
-STREAMS_KEPT = 2000
-# Without a reader a stream goes on for this long, so that it can be resumed.
-RESUME_S = 5.0
+MAX_KEPT_STREAMS = 2000
+# Generation continues for this long without a reader, so that the stream can
+# be resumed.
+RESUME_TIMEOUT_S = 5.0
 
 FAULTS: dict[str, Any] = {
-    'crash_word': '',  # the process ends when a prompt has it
-    'hang': False,  # no request of any kind is answered
-    'stall_after': -1,  # token index at which streams stand still
-    'break_after': -1,  # token index at which streams break off
+    'crash_word': '',  # a prompt that contains it ends the process
+    'hang': False,  # requests of all kinds get no answer
+    'stall_after': -1,  # token index at which streams stall
+    'break_after': -1,  # token index at which streams are cut off
     'slow': 1.0,  # factor on every interval
     'wrong_digest': 0.0,  # share answered from other weights
     'fail_orders': False,
     'slow_orders_s': 0.0,
-    'lose_replies': 0.0,  # share of plain answers
+    'lose_replies': 0.0,  # share of non-streamed answers
     'seed': None,
 }
 
 
 class BrokenStream(serving.ConnectionCut):
-    """A run ended before its last token; the connection is cut."""
+    """The run ended before its last token, so the connection is closed."""
 
 
 class Engine:
-    """Requests, orders, load reports and cache events of one engine."""
+    """Serves requests, orders, load reports and cache events."""
 
     def __init__(
         self,
@@ -94,15 +95,15 @@
         return self._answer(request)
 
     def _answer(self, request: serving.Request) -> serving.Reply:
-        where, _, name = request.path.strip('/').rpartition('/')
+        prefix, _, name = request.path.strip('/').rpartition('/')
         if request.path == '/v1/completions':
             return self._complete(request)
-        if where == 'v1/streams':
+        if prefix == 'v1/streams':
             return self._resume(name, request)
-        if where == 'v1/cancel':
+        if prefix == 'v1/cancel':
             return self._cancel(name)
         if request.path == '/orders':
-            return self._order(request)
+            return self._accept_order(request)
         if request.path == '/state':
             return serving.json_reply(200, self._executor.state())
         if request.path == '/load':
@@ -113,21 +114,23 @@
 
     def _complete(self, request: serving.Request) -> serving.Reply:
         document = serving.parse_document(request)
-        work = self._work_of(document)
+        work = self._parse_work(document)
         if isinstance(work, serving.Reply):
             return work
-        self._crash_on(work)
+        self._crash_if_poisoned(work)
         run = self._batch.submit(work)
         if run is None:
             return serving.json_reply(
                 503, {'error': 'queue is full'}, Retry_After='1'
             )
-        self._keep(run)
+        self._remember(run)
         if document.get('stream'):
             return self._stream(run, 0)
-        return self._plain(run)
+        return self._plain_reply(run)
 
-    def _work_of(self, document: dict[str, Any]) -> batch.Work | serving.Reply:
+    def _parse_work(
+        self, document: dict[str, Any]
+    ) -> batch.Work | serving.Reply:
         model = document.get('model', '')
         adapter = document.get('adapter') or ''
         if not self._executor.has_weights('model', model):
@@ -161,22 +164,22 @@
         except (KeyError, TypeError, ValueError) as exc:
             raise serving.BadRequest(f'body: {exc!r}') from exc
 
-    def _crash_on(self, work: batch.Work) -> None:
+    def _crash_if_poisoned(self, work: batch.Work) -> None:
         word = self._faults['crash_word']
         if word and word in work.prompt:
             self._batch.record(work)
             os._exit(CRASH_STATUS)
 
-    def _keep(self, run: batch.Run) -> None:
+    def _remember(self, run: batch.Run) -> None:
         self._streams[run.work.request_id] = run
-        while len(self._streams) > STREAMS_KEPT:
+        while len(self._streams) > MAX_KEPT_STREAMS:
             self._streams.popitem(last=False)
 
-    def _plain(self, run: batch.Run) -> serving.Reply:
+    def _plain_reply(self, run: batch.Run) -> serving.Reply:
         texts = [text for _index, text in run.tokens(0)]
-        if run.how != recording.FINISHED:
+        if run.state != recording.FINISHED:
             return serving.json_reply(
-                500, {'id': run.work.request_id, 'error': run.how}
+                500, {'id': run.work.request_id, 'error': run.state}
             )
         if self._rng.random() < self._faults['lose_replies']:
             raise serving.LostReply
@@ -192,15 +195,15 @@
         run.readers += 1
         try:
             for index, text in run.tokens(start):
-                yield _sse({**_names_of(run), 'index': index, 'text': text})
-            if run.how != recording.FINISHED:
-                raise BrokenStream(run.how)
+                yield _sse({**_identity_of(run), 'index': index, 'text': text})
+            if run.state != recording.FINISHED:
+                raise BrokenStream(run.state)
             yield _sse({**_summary_of(run), 'finish': 'stop'})
             yield b'data: [DONE]\n\n'
         finally:
             run.readers -= 1
             if not run.ended and not run.readers:
-                gevent.spawn_later(RESUME_S, self._abandon, run)
+                gevent.spawn_later(RESUME_TIMEOUT_S, self._abandon, run)
 
     def _abandon(self, run: batch.Run) -> None:
         if not run.readers:
@@ -224,11 +227,11 @@
                 404, {'error': f'no stream {request_id!r}'}
             )
         self._batch.end(run, recording.CANCELLED)
-        return serving.json_reply(200, {'how': run.how})
+        return serving.json_reply(200, {'how': run.state})
 
-    def _order(self, request: serving.Request) -> serving.Reply:
+    def _accept_order(self, request: serving.Request) -> serving.Reply:
         self._orders += 1
-        order = _order_of(
+        order = _parse_order(
             serving.parse_document(request), f'order-{self._orders}'
         )
         if self._executor.is_outdated(order):
@@ -241,15 +244,15 @@
         return serving.json_reply(202, {'order_id': order.order_id})
 
     def _load(self) -> dict[str, Any]:
-        """Give the newest report that is older than the lag."""
+        """Return the newest report that is at least as old as the lag."""
         now = self._clock()
         self._loads.append((now, self._load_now()))
-        shown = self._loads[0]
+        newest = self._loads[0]
         for report in self._loads:
             if report[0] <= now - self._load_lag_s:
-                shown = report
-        self._loads = [r for r in self._loads if r[0] >= shown[0]]
-        return shown[1]
+                newest = report
+        self._loads = [r for r in self._loads if r[0] >= newest[0]]
+        return newest[1]
 
     def _load_now(self) -> dict[str, Any]:
         profile = self._batch.profile
@@ -279,7 +282,7 @@
         )
 
     def _forget(self, digest: str) -> None:
-        self._batch.break_runs_of(digest)
+        self._batch.break_runs_using(digest)
         self._cache.forget(digest, self._clock())
 
     def _set_faults(self, request: serving.Request) -> serving.Reply:
@@ -290,7 +293,7 @@
 
 
 def main() -> None:
-    """Serve as a process."""
+    """Run the stand-in as a process."""
     parser = serving.make_parser(__doc__)
     profile = batch.EngineProfile()
     parser.add_argument('--slots', type=int, default=profile.slots)
@@ -334,7 +337,7 @@
     serving.run(engine.handle, args)
 
 
-def _order_of(document: dict[str, Any], order_id: str) -> loading.Order:
+def _parse_order(document: dict[str, Any], order_id: str) -> loading.Order:
     try:
         order = loading.Order(
             order_id=order_id,
@@ -357,7 +360,7 @@
     return order
 
 
-def _names_of(run: batch.Run) -> dict[str, Any]:
+def _identity_of(run: batch.Run) -> dict[str, Any]:
     return {
         'id': run.work.request_id,
         'digest': run.work.digest,
@@ -367,7 +370,7 @@
 
 def _summary_of(run: batch.Run) -> dict[str, Any]:
     return {
-        **_names_of(run),
+        **_identity_of(run),
         'tokens': len(run.texts),
         'cached_tokens': run.cached_tokens,
     }
--- a/packages/burdockchute-testing/burdockchute_testing/standins/instance_list.py
+++ b/packages/burdockchute-testing/burdockchute_testing/standins/instance_list.py
@@ -1,4 +1,4 @@
-"""The platform's list of instances, which shows changes late."""
+"""A stand-in for the platform's list of instances, which lags behind."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Change(NamedTuple):
-    """An instance as it is from a time on; None when it is gone."""
+    """The state of an instance from a time on; None if it was removed."""
 
     at: float
     name: str
@@ -25,15 +25,15 @@
 
 
 class InstanceList:
-    """Every change, and which of them are old enough to be seen."""
+    """The visible instances and the changes younger than the lag."""
 
     def __init__(
         self, lag_s: float = 0.0, clock: Callable[[], float] = time.monotonic
     ) -> None:
         self._clock = clock
         self._lag_s = lag_s
-        self._shown: dict[str, dict[str, Any]] = {}
-        self._coming: list[Change] = []
+        self._visible: dict[str, dict[str, Any]] = {}
+        self._pending: list[Change] = []
         self._faults = dict(FAULTS)
 
     def handle(self, request: serving.Request) -> serving.Reply:
@@ -41,11 +41,11 @@
         if request.path == '/faults':
             self._faults = serving.merge_faults(FAULTS, request)
             return serving.json_reply(200, {})
-        where, _, name = request.path.strip('/').partition('/')
-        if where != 'instances':
+        collection, _, name = request.path.strip('/').partition('/')
+        if collection != 'instances':
             return serving.json_reply(404, {'error': 'no such path'})
         if request.method == 'POST':
-            instance = _checked(serving.parse_document(request))
+            instance = _validated(serving.parse_document(request))
             self._change(instance['name'], instance)
             return serving.json_reply(200, {})
         if request.method == 'DELETE':
@@ -53,32 +53,34 @@
             return serving.json_reply(200, {})
         if self._faults['outage']:
             return serving.json_reply(503, {'error': 'outage'})
-        return serving.json_reply(200, {'instances': self._present()})
+        return serving.json_reply(
+            200, {'instances': self._visible_instances()}
+        )
 
     def _change(self, name: str, instance: dict[str, Any] | None) -> None:
-        self._coming.append(Change(self._clock(), name, instance))
+        self._pending.append(Change(self._clock(), name, instance))
 
-    def _present(self) -> list[dict[str, Any]]:
+    def _visible_instances(self) -> list[dict[str, Any]]:
         lag_s = self._faults['lag_s']
         lag_s = self._lag_s if lag_s is None else lag_s
-        seen_before = self._clock() - lag_s
-        while self._coming and self._coming[0].at <= seen_before:
-            change = self._coming.pop(0)
-            self._shown.pop(change.name, None)
+        visible_until = self._clock() - lag_s
+        while self._pending and self._pending[0].at <= visible_until:
+            change = self._pending.pop(0)
+            self._visible.pop(change.name, None)
             if change.instance is not None:
-                self._shown[change.name] = change.instance
-        return list(self._shown.values())
+                self._visible[change.name] = change.instance
+        return list(self._visible.values())
 
 
 def main() -> None:
-    """Serve as a process."""
+    """Run the stand-in as a process."""
     parser = serving.make_parser(__doc__)
     parser.add_argument('--lag-s', type=float, default=0.0)
     args = parser.parse_args()
     serving.run(InstanceList(args.lag_s).handle, args)
 
 
-def _checked(document: dict[str, Any]) -> dict[str, Any]:
+def _validated(document: dict[str, Any]) -> dict[str, Any]:
     missing = [field for field in FIELDS if field not in document]
     if missing:
         raise serving.BadRequest(f'body: {missing!r} must be given')
--- a/packages/burdockchute-testing/burdockchute_testing/standins/loading.py
+++ b/packages/burdockchute-testing/burdockchute_testing/standins/loading.py
@@ -1,7 +1,7 @@
-"""What weights the stand-in engine holds, and the orders that change it.
+"""Loaded weights of the stand-in engine, and the orders that change them.
 
-Weights are known by the root digest that is recomputed from the bytes that
-were fetched; what the order says about them is only compared with it.
+Weights are identified by the root digest computed from the fetched bytes;
+the digest in the order is only compared with it.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class FetchError(Exception):
-    """The weights could not be fetched whole."""
+    """The weights could not be fetched or verified."""
 
 
 class Order(NamedTuple):
@@ -62,7 +62,7 @@
 
 
 class OrderExecutor:
-    """Loaded weights, orders in progress and the fencing number."""
+    """Executes orders; holds the loaded weights and the fencing number."""
 
     def __init__(
         self,
@@ -83,19 +83,23 @@
         self._loading: list[Order] = []
 
     def is_outdated(self, order: Order) -> bool:
-        """Whether the order carries an old number and numbers count."""
+        """Whether the order's fencing number is checked and too old."""
         return self.checks_fencing and order.fence < self.fence
 
     def has_memory_for(self, order: Order) -> bool:
-        """Whether there is memory for what the order loads."""
-        if order.kind != 'model' or self._has(order.kind, order.digest):
+        """Whether there is memory for the weights of the order."""
+        if order.kind != 'model' or self._is_loaded(order.kind, order.digest):
             return True
-        held = {item.digest for item in self._loaded if item.kind == 'model'}
-        held |= {item.digest for item in self._loading if item.kind == 'model'}
-        return len(held | {order.digest}) <= self._memory_models
+        model_digests = {
+            item.digest for item in self._loaded if item.kind == 'model'
+        }
+        model_digests |= {
+            item.digest for item in self._loading if item.kind == 'model'
+        }
+        return len(model_digests | {order.digest}) <= self._memory_models
 
     def accept(self, order: Order) -> None:
-        """Carry an order out in a task of its own."""
+        """Execute an order; loading runs in a separate task."""
         self.fence = order.fence
         if order.act == 'unload':
             self._unload(order)
@@ -104,7 +108,10 @@
             gevent.spawn(self._load, order)
 
     def resolve_digest(self, kind: str, name: str, digest: str) -> str | None:
-        """Give the loaded digest for a name, the newest if none is asked."""
+        """Return the loaded digest of a name, None if it isn't loaded.
+
+        An empty `digest` stands for the newest one.
+        """
         for item in reversed(self._loaded):
             if (item.kind, item.name) == (kind, name):
                 if digest in ('', item.digest):
@@ -116,14 +123,14 @@
         return self.resolve_digest(kind, name, '') is not None
 
     def other_digest(self, digest: str) -> str:
-        """Give a loaded model's digest other than this, or a made-up one."""
+        """Return the digest of another loaded model, or a made-up one."""
         for item in self._loaded:
             if item.kind == 'model' and item.digest != digest:
                 return item.digest
         return blake3.blake3(b'other' + digest.encode()).hexdigest()
 
     def state(self) -> dict[str, Any]:
-        """Give what GET /state shows."""
+        """Return the document of GET /state."""
         return {
             'fence': self.fence,
             'checks_fencing': self.checks_fencing,
@@ -136,19 +143,19 @@
             'failures': self.failures[-10:],
         }
 
-    def _has(self, kind: str, digest: str) -> bool:
+    def _is_loaded(self, kind: str, digest: str) -> bool:
         return any(
             (item.kind, item.digest) == (kind, digest) for item in self._loaded
         )
 
     def _unload(self, order: Order) -> None:
-        gone = [
+        removed = [
             item
             for item in self._loaded
             if (item.kind, item.name, item.digest)
             == (order.kind, order.name, order.digest)
         ]
-        for item in gone:
+        for item in removed:
             self._loaded.remove(item)
             self._forget(item.digest)
 
@@ -158,7 +165,7 @@
             if digest != order.digest:
                 raise FetchError(f'{digest} is not what was ordered')
             if self.is_outdated(order):
-                raise FetchError(f'fence {order.fence} is old by now')
+                raise FetchError(f'fence {order.fence} is outdated')
             self._add(order, digest)
         except FetchError as exc:
             self.failures.append(f'{order.order_id}: {exc}')
@@ -173,7 +180,7 @@
 
     def _fetch_in_time(self, order: Order) -> str:
         if self._faults()['fail_orders']:
-            raise FetchError('told to fail')
+            raise FetchError('the fault fail_orders is set')
         deadline_s = order.deadline_ms / 1000
         with gevent.Timeout(deadline_s, FetchError('deadline passed')):
             digest = fetch_digest(order.source)
@@ -182,9 +189,9 @@
 
 
 def fetch_digest(source: str) -> str:
-    """Fetch weights and give the root digest of the bytes that came.
+    """Fetch weights and return the root digest of the received bytes.
 
-    Raises FetchError if they are not those that their manifest tells of.
+    Raises FetchError if the bytes don't match their manifest.
     """
     url = URL(source)
     client = HTTPClient.from_url(
@@ -197,7 +204,7 @@
         response = client.get(url.request_uri)
         if response.status_code != 200:
             raise FetchError(f'{source} gave {response.status_code}')
-        manifest = _manifest_in(response.get(MANIFEST_HEADER))
+        manifest = _parse_manifest(response.get(MANIFEST_HEADER))
         _check_chunks(manifest, response)
     except _FAILURES as exc:
         raise FetchError(f'{source}: {exc!r}') from exc
@@ -206,20 +213,20 @@
     return fake_weights.root_digest(manifest)
 
 
-def _manifest_in(header: str | list[str] | None) -> dict[str, Any]:
+def _parse_manifest(header: str | list[str] | None) -> dict[str, Any]:
     if not isinstance(header, str):
         raise FetchError(f'no header {MANIFEST_HEADER}')
     return json.loads(base64.b64decode(header))
 
 
 def _check_chunks(manifest: dict[str, Any], response: Any) -> None:
-    left = manifest['size']
+    remaining = manifest['size']
     for index, digest in enumerate(manifest['chunks']):
-        size = min(manifest['chunk_size'], left)
-        left -= size
+        size = min(manifest['chunk_size'], remaining)
+        remaining -= size
         if _digest_of_next(response, size) != digest:
             raise FetchError(f'chunk {index} is corrupt or short')
-    if left or response.read(1):
+    if remaining or response.read(1):
         raise FetchError('the size is not that of the manifest')
 
 
--- a/packages/burdockchute-testing/burdockchute_testing/standins/local.py
+++ b/packages/burdockchute-testing/burdockchute_testing/standins/local.py
@@ -1,4 +1,4 @@
-"""Start stand-ins inside a test, on real sockets of the loopback."""
+"""Run stand-ins inside a test process, on loopback sockets."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def start(case: unittest.TestCase, handle: serving.Handler) -> str:
-    """Serve until the test ends, and give the base URL."""
+    """Serve until the test ends; returns the base URL."""
     server = serving.make_server(handle, 0)
     case.addCleanup(server.stop, timeout=0)
     return f'http://127.0.0.1:{server.server_port}'
@@ -22,7 +22,7 @@
 class WeightsSource:
     """Serves weights to an engine as an agent does.
 
-    `replacement` replaces bytes on the way, to play a corrupt copy.
+    `replacement` is sent instead of the weights, to simulate a corrupt copy.
     """
 
     def __init__(self) -> None:
@@ -30,25 +30,25 @@
         self.replacement: bytes | None = None
 
     def publish(self, name: str, size: int = 10_000, seed: int = 1) -> str:
-        """Make weights and give their digest."""
-        made = fake_weights.Weights(name, size, 4096, seed)
-        digest = fake_weights.manifest_of(made)['digest']
-        self.published[digest] = made
+        """Create synthetic weights and return their digest."""
+        weights = fake_weights.Weights(name, size, 4096, seed)
+        digest = fake_weights.manifest_of(weights)['digest']
+        self.published[digest] = weights
         return digest
 
     def handle(self, request: serving.Request) -> serving.Reply:
         """Answer GET /weights/{digest}."""
-        made = self.published[request.path.rpartition('/')[2]]
-        manifest: dict[str, Any] = fake_weights.manifest_of(made)
+        weights = self.published[request.path.rpartition('/')[2]]
+        manifest: dict[str, Any] = fake_weights.manifest_of(weights)
         header = base64.b64encode(fake_weights.canonical(manifest)).decode()
         return serving.Reply(
             200,
-            self._bytes(made),
+            self._bytes(weights),
             headers=((loading.MANIFEST_HEADER, header),),
         )
 
-    def _bytes(self, made: fake_weights.Weights) -> Iterator[bytes]:
+    def _bytes(self, weights: fake_weights.Weights) -> Iterator[bytes]:
         if self.replacement is not None:
             yield self.replacement
             return
-        yield from fake_weights.walk(made)
+        yield from fake_weights.read_pieces(weights)
--- a/packages/burdockchute-testing/burdockchute_testing/standins/log_service.py
+++ b/packages/burdockchute-testing/burdockchute_testing/standins/log_service.py
@@ -1,4 +1,7 @@
-"""The platform's log service: streams of records with rising offsets."""
+"""A stand-in for the platform's log service.
+
+A log has streams of records with increasing offsets, which may have gaps.
+"""
 
 from __future__ import annotations
 
@@ -24,13 +27,13 @@
     'lose_replies': 0.0,  # share of appends and reads
     'appends_per_s': None,
     'retention_s': None,
-    'trim': None,  # {"stream", "before"}: acts once
+    'trim': None,  # {"stream", "before"}: takes effect once
     'seed': None,
 }
 
 
 class Record(NamedTuple):
-    """One appended record; `at` is seconds of the process clock."""
+    """One appended record; `at` is in seconds of the process clock."""
 
     offset: int
     at: float
@@ -38,35 +41,35 @@
 
 
 class Stream:
-    """The records of one name that are still kept."""
+    """The retained records of one stream."""
 
     def __init__(self) -> None:
         self.records: collections.deque[Record] = collections.deque()
         self.earliest = 0
         self.next = 0
-        self.grown = event.Event()
+        self.appended = event.Event()
 
     def trim(self, before: int) -> None:
-        """Forget the records before an offset."""
+        """Remove the records before an offset."""
         while self.records and self.records[0].offset < before:
             self.records.popleft()
         self.earliest = max(self.earliest, min(before, self.next))
 
     def expire(self, before: float) -> None:
-        """Forget the records appended before a time."""
+        """Remove the records appended before a time."""
         while self.records and self.records[0].at < before:
             self.earliest = self.records.popleft().offset + 1
 
     def append(self, offset: int, now: float, data: str) -> None:
-        """Keep one record and wake those who wait for it."""
+        """Store one record and wake the waiting readers."""
         self.records.append(Record(offset, now, data))
         self.next = offset + 1
-        self.grown.set()
-        self.grown = event.Event()
+        self.appended.set()
+        self.appended = event.Event()
 
 
 class LogService:
-    """All streams, their limits and faults."""
+    """All streams, with the rate limit, the retention and the faults."""
 
     def __init__(
         self,
@@ -107,8 +110,8 @@
         stream = self._streams.setdefault(parts[1], Stream())
         self._expire(stream)
         if parts[2:] == ['earliest']:
-            where = {'earliest': stream.earliest, 'next': stream.next}
-            return serving.json_reply(200, where)
+            extent = {'earliest': stream.earliest, 'next': stream.next}
+            return serving.json_reply(200, extent)
         if request.method == 'POST':
             return self._append(stream, request)
         return self._read(stream, request)
@@ -136,20 +139,20 @@
         limit = min(serving.query_integer(request, 'max', 500), MAX_READ)
         wait_ms = serving.query_integer(request, 'wait_ms', 0)
         if start >= stream.next and wait_ms:
-            stream.grown.wait(min(wait_ms, MAX_WAIT_MS) / 1000)
+            stream.appended.wait(min(wait_ms, MAX_WAIT_MS) / 1000)
             if self._faults['outage']:
                 return serving.json_reply(503, {'error': 'outage'})
             self._expire(stream)
         if start < stream.earliest:
             return serving.json_reply(410, {'earliest': stream.earliest})
-        found = _from(stream, start, limit)
+        records = _records_from(stream, start, limit)
         reply = serving.json_reply(
             200,
             {
                 'records': [
-                    {'offset': r.offset, 'data': r.data} for r in found
+                    {'offset': r.offset, 'data': r.data} for r in records
                 ],
-                'next': found[-1].offset + 1 if found else start,
+                'next': records[-1].offset + 1 if records else start,
             },
         )
         self._counts['reads'] += 1
@@ -184,7 +187,7 @@
 
 
 def main() -> None:
-    """Serve as a process."""
+    """Run the stand-in as a process."""
     parser = serving.make_parser(__doc__)
     parser.add_argument('--appends-per-s', type=float, default=0.0)
     parser.add_argument('--retention-s', type=float, default=0.0)
@@ -196,15 +199,15 @@
     serving.run(service.handle, args)
 
 
-def _from(stream: Stream, start: int, limit: int) -> list[Record]:
-    # Readers mostly follow the end, so look from there.
-    found: list[Record] = []
+def _records_from(stream: Stream, start: int, limit: int) -> list[Record]:
+    # Most readers follow the end of the stream, so the search starts there.
+    records: list[Record] = []
     for record in reversed(stream.records):
         if record.offset < start:
             break
-        found.append(record)
-    found.reverse()
-    return found[:limit]
+        records.append(record)
+    records.reverse()
+    return records[:limit]
 
 
 if __name__ == '__main__':
--- a/packages/burdockchute-testing/burdockchute_testing/standins/prefix_cache.py
+++ b/packages/burdockchute-testing/burdockchute_testing/standins/prefix_cache.py
@@ -1,4 +1,4 @@
-"""The stand-in engine's cache of prompt prefixes, and its late events."""
+"""The stand-in engine's prefix cache, which reports events with a lag."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 from burdockchute_testing import answers
 
-EVENTS_KEPT = 10_000
+MAX_KEPT_EVENTS = 10_000
 STORED = 'stored'
 EVICTED = 'evicted'
 
 
 class CacheEvent(NamedTuple):
-    """One change; `visible` is when readers may see it, in seconds."""
+    """One change; readers see it from the time `visible` on, in seconds."""
 
     sequence: int
     visible: float
@@ -23,7 +23,10 @@
 
 
 class PrefixCache:
-    """The least recently used blocks leave first, beyond `limit` blocks."""
+    """An LRU cache of `limit` blocks.
+
+    The share `gap_share` of the events is dropped.
+    """
 
     def __init__(
         self,
@@ -40,15 +43,15 @@
             collections.OrderedDict()
         )
         self._events: collections.deque[CacheEvent] = collections.deque(
-            maxlen=EVENTS_KEPT
+            maxlen=MAX_KEPT_EVENTS
         )
         self._sequence = 0
 
     def use(self, weights: str, prompt: str, now: float) -> int:
-        """Give how many words were cached, and cache the whole prompt.
+        """Return the number of cached words, and cache the complete prompt.
 
-        `weights` names what the blocks were computed with; a block of other
-        weights is of no use.
+        `weights` names the weights that computed the blocks; blocks of other
+        weights don't match.
         """
         prefixes = answers.prefixes_of(prompt)
         hits = 0
@@ -61,13 +64,13 @@
         return hits * answers.BLOCK_WORDS
 
     def forget(self, digest: str, now: float) -> None:
-        """Drop all blocks of weights that are no longer loaded."""
+        """Drop all blocks of unloaded weights."""
         for key in [key for key in self._blocks if digest in key[0]]:
             del self._blocks[key]
-            self._tell(EVICTED, key[1], now)
+            self._add_event(EVICTED, key[1], now)
 
     def events(self, start: int, now: float) -> list[CacheEvent]:
-        """Give the events from a sequence number on that may be seen."""
+        """Return the visible events from a sequence number on."""
         return [
             event
             for event in self._events
@@ -80,12 +83,12 @@
             self._blocks.move_to_end(key)
             return
         self._blocks[key] = None
-        self._tell(STORED, prefix, now)
+        self._add_event(STORED, prefix, now)
         while len(self._blocks) > self._limit:
             (_weights, oldest), _none = self._blocks.popitem(last=False)
-            self._tell(EVICTED, oldest, now)
+            self._add_event(EVICTED, oldest, now)
 
-    def _tell(self, act: str, prefix: str, now: float) -> None:
+    def _add_event(self, act: str, prefix: str, now: float) -> None:
         self._sequence += 1
         if self._rng.random() < self._gap_share:
             return
--- a/packages/burdockchute-testing/burdockchute_testing/standins/recording.py
+++ b/packages/burdockchute-testing/burdockchute_testing/standins/recording.py
@@ -1,7 +1,7 @@
-"""What a stand-in upstream ran, kept for the checker of histories.
+"""The runs of a stand-in upstream, recorded for the history checker.
 
-The history can also be written to a file as it happens, since a process
-that is killed takes its memory with it.
+The history can also be written to a file as it happens, since a killed
+process loses its memory.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from typing import Any
 from typing import TextIO
 
-KEPT = 20_000
+MAX_KEPT_RUNS = 20_000
 
 RUNNING = 'running'
 FINISHED = 'finished'
@@ -22,9 +22,10 @@
 
 
 class Recording:
-    """Runs with start and end, in seconds of the machine's clock.
+    """Runs with their start and end in seconds.
 
-    Wall time, so that the records of several processes can be compared.
+    The times are wall-clock times, so that the records of several processes
+    can be compared.
     """
 
     def __init__(
@@ -32,13 +33,13 @@
     ) -> None:
         self._clock = clock
         self._runs: collections.deque[dict[str, Any]] = collections.deque(
-            maxlen=KEPT
+            maxlen=MAX_KEPT_RUNS
         )
         self._file: TextIO | None = open(path, 'a') if path else None
         self._count = 0
 
     def start(self, request_id: str, **fields: Any) -> dict[str, Any]:
-        """Record that a run starts, and give its record."""
+        """Record the start of a run and return its record."""
         self._count += 1
         run = {
             'run': self._count,
@@ -52,16 +53,16 @@
         self._write(run)
         return run
 
-    def end(self, run: dict[str, Any], how: str) -> None:
-        """Record how a run ended; the first end stands."""
+    def end(self, run: dict[str, Any], state: str) -> None:
+        """Record the end of a run; has no effect on a run that has ended."""
         if run['how'] != RUNNING:
             return
-        run['how'] = how
+        run['how'] = state
         run['end'] = self._clock()
         self._write(run)
 
     def runs(self) -> list[dict[str, Any]]:
-        """Give all runs that are kept, oldest first."""
+        """Return the last `MAX_KEPT_RUNS` runs, oldest first."""
         return list(self._runs)
 
     def _write(self, run: dict[str, Any]) -> None:
@@ -71,7 +72,7 @@
 
 
 def read(path: str) -> list[dict[str, Any]]:
-    """Give the runs of a file, each as it was last written."""
+    """Return the runs of a file, each in its last written state."""
     runs: dict[int, dict[str, Any]] = {}
     with open(path) as lines:
         for line in lines:
--- a/packages/burdockchute-testing/burdockchute_testing/standins/service.py
+++ b/packages/burdockchute-testing/burdockchute_testing/standins/service.py
@@ -1,4 +1,4 @@
-"""A plain service, which does one thing for each request it gets."""
+"""A stand-in for a plain service, which runs each request once."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 FAULTS: dict[str, Any] = {
     'slow_s': 0.0,
-    'crash_word': '',  # the process ends when a body has it
+    'crash_word': '',  # a body that contains it ends the process
     'lose_replies': 0.0,
     'fail': 0.0,  # share answered with 500
     'seed': None,
@@ -23,7 +23,7 @@
 
 
 class Service:
-    """Runs requests, each for `seconds`."""
+    """Runs each request for `seconds` and echoes its body."""
 
     def __init__(
         self,
@@ -77,7 +77,7 @@
 
 
 def main() -> None:
-    """Serve as a process."""
+    """Run the stand-in as a process."""
     parser = serving.make_parser(__doc__)
     parser.add_argument('--service', default='service')
     parser.add_argument('--seconds', type=float, default=0.0)
--- a/packages/burdockchute-testing/burdockchute_testing/standins/serving.py
+++ b/packages/burdockchute-testing/burdockchute_testing/standins/serving.py
@@ -1,7 +1,7 @@
-"""What all stand-ins share: HTTP with JSON, faults, start and end.
+"""The common part of all stand-ins: HTTP, JSON, faults, start and stop.
 
 A stand-in is a function from a Request to a Reply. It raises LostReply to
-cut the connection after the effect, without a byte of answer.
+close the connection without a reply after the request has taken effect.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 class Request(NamedTuple):
-    """One HTTP request, its body read whole."""
+    """One HTTP request with its complete body."""
 
     method: str
     path: str
@@ -52,7 +52,7 @@
 
 
 class Reply(NamedTuple):
-    """One HTTP reply; a body that is no bytes is streamed."""
+    """One HTTP reply; an iterable body is streamed."""
 
     status: int
     body: bytes | Iterable[bytes]
@@ -61,30 +61,30 @@
 
 
 class ConnectionCut(Exception):  # noqa: N818
-    """The connection ends here, whatever was sent on it so far."""
+    """Closes the connection, whatever was sent on it so far."""
 
 
 class LostReply(ConnectionCut):
-    """The action has taken effect and its reply gets lost."""
+    """The request has taken effect, but its reply is lost."""
 
 
 class BadRequest(Exception):  # noqa: N818
-    """The request can't be understood."""
+    """The request is invalid; it is answered with status 400."""
 
 
 Handler = Callable[[Request], Reply]
 
 
 def json_reply(status: int, value: object, **headers: str) -> Reply:
-    """Give a reply with a JSON body; header names use _ for -."""
-    named = tuple(
+    """Return a reply with a JSON body; header names have _ in place of -."""
+    header_pairs = tuple(
         (name.replace('_', '-'), text) for name, text in headers.items()
     )
-    return Reply(status, json.dumps(value).encode(), headers=named)
+    return Reply(status, json.dumps(value).encode(), headers=header_pairs)
 
 
 def parse_document(request: Request) -> dict[str, Any]:
-    """Give the JSON object of the body; raises BadRequest."""
+    """Return the JSON object in the body; raises BadRequest."""
     try:
         document = json.loads(request.body or b'{}')
     except ValueError as exc:
@@ -95,28 +95,30 @@
 
 
 def query_integer(request: Request, name: str, default: int) -> int:
-    """Give a number of the query; raises BadRequest."""
+    """Return an integer of the query string; raises BadRequest."""
     text = request.query.get(name, str(default))
     if not text.isdigit():
         raise BadRequest(f'{name}: {text!r} is not a whole number')
     return int(text)
 
 
-def merge_faults(known: Mapping[str, Any], request: Request) -> dict[str, Any]:
-    """Give the faults in force from now on; what is not named is whole."""
+def merge_faults(
+    defaults: Mapping[str, Any], request: Request
+) -> dict[str, Any]:
+    """Return the new faults; those not in the request get their defaults."""
     document = parse_document(request)
-    unknown = sorted(set(document) - set(known))
+    unknown = sorted(set(document) - set(defaults))
     if unknown:
         raise BadRequest(
-            f'{unknown!r} are no faults; valid are {sorted(known)}'
+            f'{unknown!r} are no faults; valid are {sorted(defaults)}'
         )
-    return {**known, **document}
+    return {**defaults, **document}
 
 
 def make_server(
     handle: Handler, port: int, address: str = '127.0.0.1'
 ) -> pywsgi.WSGIServer:
-    """Give a started server; its real port is `server_port`."""
+    """Return a started server; `server_port` is its actual port."""
     listening = pywsgi.WSGIServer(
         (address, port),
         _make_app(handle),
@@ -129,7 +131,7 @@
 
 
 def make_parser(description: str) -> argparse.ArgumentParser:
-    """Give a parser with what every stand-in takes."""
+    """Return a parser with the arguments common to all stand-ins."""
     parser = argparse.ArgumentParser(description=description)
     parser.add_argument('--port', type=int, default=0)
     parser.add_argument('--address', default='127.0.0.1')
@@ -138,7 +140,7 @@
 
 
 def run(handle: Handler, args: argparse.Namespace) -> None:
-    """Serve until SIGTERM, after one line that tells the port."""
+    """Print a line with the port, then serve until SIGTERM or SIGINT."""
     stopped = event.Event()
     gevent.signal_handler(signal.SIGTERM, stopped.set)
     gevent.signal_handler(signal.SIGINT, stopped.set)
@@ -150,14 +152,14 @@
 
 class _QuietHandler(pywsgi.WSGIHandler):
     def __init__(self, sock: Any, *args: Any, **kwargs: Any) -> None:
-        # Small parts of a stream must not wait for the peer's delayed
-        # acknowledgement.
+        # Without this, small parts of a stream wait for the peer's delayed
+        # acknowledgement (Nagle's algorithm).
         sock.setsockopt(sockets.IPPROTO_TCP, sockets.TCP_NODELAY, 1)
         super().__init__(sock, *args, **kwargs)
 
     def handle_error(self, *exc_info: Any) -> None:
         if isinstance(exc_info[1], ConnectionCut):
-            _shut(self.socket)
+            _shut_down(self.socket)
             self.close_connection = True
             return
         super().handle_error(*exc_info)
@@ -200,7 +202,7 @@
     )
 
 
-def _shut(sock: Any) -> None:
+def _shut_down(sock: Any) -> None:
     try:
         sock.shutdown(sockets.SHUT_RDWR)
     except OSError:
--- a/packages/burdockchute-testing/burdockchute_testing/standins/weight_store.py
+++ b/packages/burdockchute-testing/burdockchute_testing/standins/weight_store.py
@@ -1,4 +1,4 @@
-"""The platform's weight store, which is also the origin of weights."""
+"""A stand-in for the platform's weight store, the origin of weights."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class WeightStore:
-    """Published weights, a rate of bytes and a count of what was read."""
+    """Published weights with a bandwidth limit and read statistics."""
 
     def __init__(
         self,
@@ -51,9 +51,12 @@
         self._by_digest: dict[str, int] = {}
 
     def publish(self, document: dict[str, Any]) -> str:
-        """Make weights from {"name", "size", "chunk_size", "seed"}."""
+        """Publish synthetic weights and return their digest.
+
+        `document` has the fields "name", "size", "chunk_size" and "seed".
+        """
         try:
-            made = fake_weights.Weights(
+            weights = fake_weights.Weights(
                 str(document['name']),
                 int(document['size']),
                 int(document['chunk_size']),
@@ -61,10 +64,10 @@
             )
         except (KeyError, TypeError, ValueError) as exc:
             raise serving.BadRequest(f'body: {exc!r}') from exc
-        if made.size < 1 or made.chunk_size < 1:
+        if weights.size < 1 or weights.chunk_size < 1:
             raise serving.BadRequest('body: sizes must be over 0')
-        manifest = fake_weights.manifest_of(made)
-        self._weights[manifest['digest']] = made
+        manifest = fake_weights.manifest_of(weights)
+        self._weights[manifest['digest']] = weights
         self._manifests[manifest['digest']] = manifest
         return manifest['digest']
 
@@ -85,21 +88,26 @@
         return self._answer(request)
 
     def _answer(self, request: serving.Request) -> serving.Reply:
-        what, _, digest = request.path.strip('/').partition('/')
-        if what not in ('manifests', 'blobs') or digest not in self._weights:
-            return serving.json_reply(404, {'error': f'no {what} {digest!r}'})
-        if what == 'manifests':
+        resource, _, digest = request.path.strip('/').partition('/')
+        if (
+            resource not in ('manifests', 'blobs')
+            or digest not in self._weights
+        ):
+            return serving.json_reply(
+                404, {'error': f'no {resource} {digest!r}'}
+            )
+        if resource == 'manifests':
             manifest = self._manifests[digest]
-            self._lose_some()
+            self._maybe_lose_reply()
             return serving.json_reply(200, manifest)
         return self._blob(digest, request)
 
     def _blob(self, digest: str, request: serving.Request) -> serving.Reply:
-        made = self._weights[digest]
-        asked = _range_of(request, made.size)
-        if asked is None:
-            return serving.json_reply(416, {'size': made.size})
-        start, stop = asked
+        weights = self._weights[digest]
+        byte_range = _range_of(request, weights.size)
+        if byte_range is None:
+            return serving.json_reply(416, {'size': weights.size})
+        start, stop = byte_range
         self._reads += 1
         if self._rng.random() < self._faults['lose_replies']:
             self._count(digest, stop - start)
@@ -113,7 +121,7 @@
             BYTES_TYPE,
             (
                 ('Content-Length', str(stop - start)),
-                ('Content-Range', f'bytes {start}-{stop - 1}/{made.size}'),
+                ('Content-Range', f'bytes {start}-{stop - 1}/{weights.size}'),
             ),
         )
 
@@ -131,10 +139,10 @@
 
     def _count(self, digest: str, size: int) -> None:
         self._bytes_read += size
-        before = self._by_digest.get(digest, 0)
-        self._by_digest[digest] = before + size
+        previous = self._by_digest.get(digest, 0)
+        self._by_digest[digest] = previous + size
 
-    def _lose_some(self) -> None:
+    def _maybe_lose_reply(self) -> None:
         if self._rng.random() < self._faults['lose_replies']:
             raise serving.LostReply
 
@@ -158,7 +166,7 @@
 
 
 def main() -> None:
-    """Serve as a process."""
+    """Run the stand-in as a process."""
     parser = serving.make_parser(__doc__)
     parser.add_argument('--bytes-per-s', type=float, default=0.0)
     args = parser.parse_args()
--- a/packages/burdockchute-testing/tests/test_history.py
+++ b/packages/burdockchute-testing/tests/test_history.py
@@ -136,7 +136,7 @@
     def test_non_idempotent_request_that_ran_twice(self):
         runs = (
             run_of(NON_IDEMPOTENT, ''),
-            run_of(NON_IDEMPOTENT, '')._replace(how='broken'),
+            run_of(NON_IDEMPOTENT, '')._replace(state='broken'),
         )
         unknown = answered(NON_IDEMPOTENT)._replace(
             status=502, outcome=calls.UNKNOWN
@@ -166,7 +166,7 @@
         )
 
     def test_work_cut_off_by_leaving(self):
-        cancelled = run_of()._replace(how='cancelled')
+        cancelled = run_of()._replace(state='cancelled')
         unknown = answered()._replace(status=502, outcome=calls.UNKNOWN)
         self.assert_found(
             History(
