--- a/packages/burdockchute-testing/burdockchute_testing/calls.py
+++ b/packages/burdockchute-testing/burdockchute_testing/calls.py
@@ -1,4 +1,4 @@
-"""What callers ask and what they see, recorded for the history checker."""
+"""Requests of callers and their results, recorded for the history checker."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 ANSWERED = 'answered'
 NOT_RUN = 'not-run'
 UNKNOWN = 'unknown'
-# What a caller sees when the connection ends without a final outcome.
+# The connection ended without a final outcome.
 CUT = 'cut'
 
 _OUTCOME_EVENT = 'outcome'
 
 
 class CallSpec(NamedTuple):
-    """One request; `marker` stands in its text and in no other request's.
+    """The parameters of a request; `marker` occurs in its text only.
 
-    Sending an ask again means the same work, so it keeps its marker and its
-    idempotency key.
+    A repeated request stands for the same work, so it keeps its marker and
+    its idempotency key.
     """
 
     marker: str
@@ -41,11 +41,11 @@
 
 
 class Call(NamedTuple):
-    """One sending of an ask, and what came back.
+    """One attempt of a request and its result.
 
-    Times are seconds of the machine's clock. `parts` holds the pairs of
-    digests that the parts of the answer named. `first_s` is the time to the
-    first part of a stream, None if none came.
+    `start` and `end` are wall-clock times in seconds. `parts` holds the
+    pairs of digests named in the parts of the answer. `first_s` is the time
+    to the first part of a stream in seconds, None without one.
     """
 
     spec: CallSpec
@@ -67,17 +67,17 @@
 def completion(
     marker: str, target: str, words: str = '', **fields: Any
 ) -> CallSpec:
-    """Give an ask for a completion whose prompt starts with its marker."""
+    """Return a completion request whose prompt starts with its marker."""
     return CallSpec(marker, target, f'{marker} {words}'.strip(), **fields)
 
 
 def service(marker: str, target: str, **fields: Any) -> CallSpec:
-    """Give an ask for a plain service whose body is its marker."""
+    """Return a request to a plain service whose body is its marker."""
     return CallSpec(marker, target, marker, kind=SERVICE, **fields)
 
 
 def new_key(marker: str, now: float) -> str:
-    """Give an idempotency key issued now, in unix seconds."""
+    """Return an idempotency key issued at `now`, in Unix seconds."""
     return f'{int(now)}-{marker}'
 
 
@@ -88,7 +88,7 @@
     entry: str = '',
     timeout_s: float = 60.0,
 ) -> Call:
-    """Send an ask to an entry and record what comes back."""
+    """Send a request to an entry and record the result."""
     call = Call(spec, entry or entry_url, time.time(), 0.0)
     url = entry_url + _path_of(spec)
     try:
@@ -102,7 +102,7 @@
 
 
 def request_headers(spec: CallSpec, bearer: str) -> dict[str, str]:
-    """Give the request headers."""
+    """Return the request headers."""
     headers = {
         'Authorization': f'Bearer {bearer}',
         'Content-Type': 'application/json',
@@ -115,7 +115,7 @@
 
 
 def completion_body(spec: CallSpec) -> dict[str, Any]:
-    """Give the JSON body of a completion."""
+    """Return the JSON body of a completion."""
     return {
         'model': spec.target,
         'adapter': spec.adapter,
@@ -169,14 +169,15 @@
         call = _with_headers(call, stream.status, stream.headers)
         if stream.status != 200:
             return call._replace(error=stream.read().decode())
-        # The last event tells the outcome, a header can't yet.
+        # The last event has the outcome; it isn't known yet when the headers
+        # are sent.
         return _read_events(call._replace(outcome=CUT), stream)
     finally:
         stream.close()
 
 
 def _read_events(call: Call, stream: client.Stream) -> Call:
-    # What came before a cut must not be lost with it.
+    # The events before a broken connection must be kept.
     try:
         for event in stream.events():
             call = _with_event(call, event)
--- a/packages/burdockchute-testing/burdockchute_testing/client.py
+++ b/packages/burdockchute-testing/burdockchute_testing/client.py
@@ -1,4 +1,4 @@
-"""A small HTTP client for tests, the demo and the benches.
+"""A minimal HTTP client for tests, the demo and the benches.
 
 >>> from burdockchute_testing import client
 >>> client.get('http://127.0.0.1:8000/load').status  # doctest: +SKIP
@@ -27,19 +27,19 @@
 
 
 class Response(NamedTuple):
-    """A whole response; header names are in lower case."""
+    """A complete response; header names are in lower case."""
 
     status: int
     headers: Mapping[str, str]
     body: bytes
 
     def json(self) -> Any:
-        """Give the body as JSON."""
+        """Return the body as JSON."""
         return json.loads(self.body)
 
 
 class Event(NamedTuple):
-    """One server-sent event and when it came, in monotonic seconds."""
+    """One server-sent event with its arrival time in monotonic seconds."""
 
     name: str
     data: str
@@ -47,7 +47,7 @@
 
 
 class NoResponse(Exception):  # noqa: N818
-    """No whole response came."""
+    """The request failed before a complete response was received."""
 
 
 def get(url: str, timeout_s: float = TIMEOUT_S) -> Response:
@@ -73,7 +73,7 @@
     headers: Mapping[str, str] | None = None,
     timeout_s: float = TIMEOUT_S,
 ) -> Response:
-    """Send any request and read the whole response; raises NoResponse."""
+    """Send a request and read the complete response; raises NoResponse."""
     client = _client(url, timeout_s)
     try:
         answer = client.request(
@@ -89,7 +89,7 @@
 
 
 class Stream:
-    """A response that is read event by event; `close` leaves it early."""
+    """A response that is read event by event; `close` ends it early."""
 
     def __init__(
         self,
@@ -114,7 +114,7 @@
         self.headers = _headers(self._answer)
 
     def events(self) -> Iterator[Event]:
-        """Give the events as they come; raises NoResponse if it is cut."""
+        """Yield the events as they arrive; raises NoResponse if cut off."""
         while block := self._block():
             name = data = ''
             for line in block.decode().splitlines():
@@ -125,15 +125,15 @@
             yield Event(name, data, time.monotonic())
 
     def read(self) -> bytes:
-        """Give the rest of the body; raises NoResponse if it is cut."""
+        """Return the remaining body; raises NoResponse if cut off."""
         try:
             return bytes(self._answer.read())
         except _FAILURES as exc:
             raise NoResponse(f'POST {self._url}: {exc!r}') from exc
 
     def close(self) -> None:
-        """Close the connection, in the middle of the stream or after it."""
-        # Closing the client alone leaves a connection open that is in use.
+        """Close the connection, during the stream or after it."""
+        # Closing only the client would leave a connection in use open.
         self._answer.release()
         self._client.close()
 
--- a/packages/burdockchute-testing/burdockchute_testing/fake_weights.py
+++ b/packages/burdockchute-testing/burdockchute_testing/fake_weights.py
@@ -1,7 +1,7 @@
-"""Synthetic weights: bytes and manifests that need no storage.
+"""Synthetic weights and manifests, generated without storage.
 
-The bytes are the extended output of blake3 over name, version seed and
-size, so any range of them can be made when it is read.
+The bytes are the extended output of blake3 over the name, the size and the
+version seed, so any range can be generated when it is read.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Weights(NamedTuple):
-    """One synthetic set of weights; sizes are in bytes."""
+    """One set of synthetic weights; sizes are in bytes."""
 
     name: str
     size: int
@@ -26,7 +26,7 @@
 
 
 def read(weights: Weights, start: int, stop: int) -> bytes:
-    """Return the bytes from start up to, not including, stop."""
+    """Return the bytes from `start` up to, but not including, `stop`."""
     stop = min(stop, weights.size)
     label = f'{weights.name}\0{weights.size}\0{weights.seed}'
     source = blake3.blake3(label.encode())
@@ -34,13 +34,13 @@
 
 
 def read_pieces(weights: Weights, start: int = 0) -> Iterator[bytes]:
-    """Return all bytes from start in pieces."""
+    """Yield all bytes from `start` on in pieces."""
     for at in range(start, weights.size, _PIECE_BYTES):
         yield read(weights, at, at + _PIECE_BYTES)
 
 
 def manifest_of(weights: Weights) -> dict[str, Any]:
-    """Return the manifest with its root digest."""
+    """Return the manifest, including its root digest."""
     manifest: dict[str, Any] = {
         'name': weights.name,
         'size': weights.size,
@@ -56,12 +56,12 @@
 
 
 def root_digest(manifest: dict[str, Any]) -> str:
-    """Return blake3 of the canonical manifest without its digest."""
+    """Return the blake3 hash of the canonical manifest without its digest."""
     return blake3.blake3(canonical(manifest)).hexdigest()
 
 
 def canonical(manifest: dict[str, Any]) -> bytes:
-    """Return the bytes that the root digest is taken over."""
+    """Return the bytes that the root digest is computed from."""
     rest = {k: v for k, v in manifest.items() if k != 'digest'}
     text = json.dumps(
         rest, sort_keys=True, separators=(',', ':'), ensure_ascii=False
--- a/packages/burdockchute-testing/burdockchute_testing/standins/batch.py
+++ b/packages/burdockchute-testing/burdockchute_testing/standins/batch.py
@@ -189,7 +189,7 @@
 
     def _generate_tokens(self, run: Run) -> None:
         work = run.work
-        token = answers.tokens_of(
+        token = answers.token_function(
             work.digest, work.adapter_digest, work.prompt
         )
         for index in range(work.max_tokens):
