--- a/packages/burdockchute-testing/burdockchute_testing/history.py
+++ b/packages/burdockchute-testing/burdockchute_testing/history.py
@@ -1,8 +1,8 @@
-"""Check a concurrent history against what must always hold.
+"""Check a concurrent history against the system's invariants.
 
-A history has the calls that callers recorded and the runs that the stand-in
-upstreams recorded, on one clock. Each check collects every breach with its
-place; an empty list means that the history is sound.
+A history consists of the calls recorded by callers and the runs recorded by
+the stand-in upstreams, on one clock. Each check returns all violations with
+the place where they occurred; an empty list means that the history is valid.
 
 >>> from burdockchute_testing.history import History
 >>> check(History((), ()))
@@ -25,8 +25,8 @@
 from burdockchute_testing.calls import Call
 from burdockchute_testing.standins import recording
 
-# An instance that is leaving may still get what was on its way.
-LEAVING_GRACE_S = 3.0
+# An instance that shuts down may still receive requests that were in transit.
+SHUTDOWN_GRACE_S = 3.0
 
 
 class Run(NamedTuple):
@@ -43,17 +43,17 @@
 
 
 class GracefulStop(NamedTuple):
-    """An upstream left gracefully from `at` on, seconds."""
+    """A graceful shutdown of an upstream's agent, started at `at` seconds."""
 
     upstream: str
     at: float
 
 
 class History(NamedTuple):
-    """What was recorded, and what is known about the time of it.
+    """The recorded calls and runs, and the events of the recording.
 
-    `digests` are all the weights that were ever named by the table; empty
-    means that any will do. `killed` names entries that were killed, whose
+    `digests` are the weights that the table named at any time; if it is
+    empty, all weights are allowed. `killed` names the killed entries, whose
     callers may see their connection cut.
     """
 
@@ -65,23 +65,23 @@
 
 
 def check(history: History) -> list[Finding]:
-    """Return every breach, in the order of their places."""
+    """Return all violations, sorted by place."""
     by_marker = _runs_by_marker(history)
-    known = {c.request_id for c in history.calls if c.request_id}
-    found: list[Finding] = []
+    known_ids = {c.request_id for c in history.calls if c.request_id}
+    violations: list[Finding] = []
     for call in history.calls:
         runs = by_marker[call.spec.marker]
-        found.extend(_check_answer(call, runs, history.digests))
-        found.extend(_check_not_run(call, runs, known))
-        found.extend(_check_final(call, history.killed))
-    found.extend(_check_once(history.calls, by_marker))
+        violations.extend(_check_answer(call, runs, history.digests))
+        violations.extend(_check_not_run(call, runs, known_ids))
+        violations.extend(_check_outcome(call, history.killed))
+    violations.extend(_check_at_most_once(history.calls, by_marker))
     for graceful_stop in history.graceful_stops:
-        found.extend(_check_graceful_stop(graceful_stop, history))
-    return sorted(found)
+        violations.extend(_check_graceful_stop(graceful_stop, history))
+    return sorted(violations)
 
 
 def runs_of(records: Iterable[Mapping[str, Any]]) -> tuple[Run, ...]:
-    """Return the runs from the records of stand-in upstreams."""
+    """Return the runs in the records of stand-in upstreams."""
     return tuple(
         Run(
             upstream=record['upstream'],
@@ -99,12 +99,12 @@
 
 def _runs_by_marker(history: History) -> dict[str, list[Run]]:
     markers = {call.spec.marker for call in history.calls}
-    found: dict[str, list[Run]] = collections.defaultdict(list)
+    runs_by_marker: dict[str, list[Run]] = collections.defaultdict(list)
     for run in history.runs:
         marker = run.text.partition(' ')[0]
         if marker in markers:
-            found[marker].append(run)
-    return found
+            runs_by_marker[marker].append(run)
+    return runs_by_marker
 
 
 def _check_answer(
@@ -118,19 +118,19 @@
             yield Finding(place, 'the answer is not its own')
     else:
         yield from _check_completion(place, call, digests)
-    if not any(_made(run, call) for run in runs):
+    if not any(_produced(run, call) for run in runs):
         yield Finding(place, 'answered, but no upstream finished it')
 
 
 def _check_completion(
     place: str, call: Call, digests: frozenset[str]
 ) -> Iterator[Finding]:
-    named = (call.digest, call.adapter_digest)
-    if call.parts != {named}:
+    answer_digests = (call.digest, call.adapter_digest)
+    if call.parts != {answer_digests}:
         yield Finding(
             place,
             f'its parts are from {_short(call.parts)}, not from one '
-            f'{_short([named])}',
+            f'{_short([answer_digests])}',
         )
     if digests and call.digest not in digests:
         yield Finding(place, f'{call.digest[:8]} was never in the table')
@@ -146,41 +146,43 @@
 
 
 def _check_not_run(
-    call: Call, runs: list[Run], known: Container[str]
+    call: Call, runs: list[Run], known_ids: Container[str]
 ) -> Iterator[Finding]:
     if call.outcome != calls.NOT_RUN:
         return
     for run in runs:
-        if _belongs(run, call, known):
+        if _belongs(run, call, known_ids):
             yield Finding(
                 _place(call), f'not-run, but it ran at {run.upstream}'
             )
 
 
-def _belongs(run: Run, call: Call, known: Container[str]) -> bool:
-    # Each sending is a request of its own, also one under a key that was
-    # sent before: not-run speaks of this sending. A run has the id that the
-    # entry gave to its sending; where no caller ever heard that id, it may
-    # be of any sending that was under way when it began.
-    if run.request_id in known:
+def _belongs(run: Run, call: Call, known_ids: Container[str]) -> bool:
+    # Each attempt is a separate request, even under an idempotency key that
+    # was used before: not-run refers to this attempt only. A run has the
+    # request id that the entry gave to the attempt. If no caller ever received
+    # that id, the run may belong to any attempt in progress when it started.
+    if run.request_id in known_ids:
         return run.request_id == call.request_id
     return call.start <= run.start <= call.end
 
 
-def _check_final(call: Call, killed: frozenset[str]) -> Iterator[Finding]:
-    known = (calls.ANSWERED, calls.NOT_RUN, calls.UNKNOWN)
-    if call.outcome in known or call.entry in killed:
+def _check_outcome(call: Call, killed: frozenset[str]) -> Iterator[Finding]:
+    final_outcomes = (calls.ANSWERED, calls.NOT_RUN, calls.UNKNOWN)
+    if call.outcome in final_outcomes or call.entry in killed:
         return
     yield Finding(
         _place(call), f'no final outcome: {call.status} {call.error[:200]}'
     )
 
 
-def _check_once(
-    made: Iterable[Call], by_marker: Mapping[str, list[Run]]
+def _check_at_most_once(
+    all_calls: Iterable[Call], by_marker: Mapping[str, list[Run]]
 ) -> Iterator[Finding]:
-    guarded = {call.spec.marker for call in made if not call.spec.idempotent}
-    for marker in sorted(guarded):
+    non_idempotent = {
+        call.spec.marker for call in all_calls if not call.spec.idempotent
+    }
+    for marker in sorted(non_idempotent):
         runs = by_marker[marker]
         if len(runs) > 1:
             where = ', '.join(run.upstream for run in runs)
@@ -194,15 +196,15 @@
         if run.upstream != graceful_stop.upstream:
             continue
         place = f'{run.upstream}:{run.text.partition(" ")[0]}'
-        if run.start > graceful_stop.at + LEAVING_GRACE_S:
-            late = run.start - graceful_stop.at
-            yield Finding(place, f'began {late:.1f} s after leaving began')
+        if run.start > graceful_stop.at + SHUTDOWN_GRACE_S:
+            delay_s = run.start - graceful_stop.at
+            yield Finding(place, f'began {delay_s:.1f} s after leaving began')
         in_flight = run.end is None or run.end >= graceful_stop.at
         if in_flight and run.state != recording.FINISHED:
             yield Finding(place, f'was cut off by leaving: {run.state}')
 
 
-def _made(run: Run, call: Call) -> bool:
+def _produced(run: Run, call: Call) -> bool:
     return (
         run.state == recording.FINISHED
         and run.digest == call.digest
--- a/packages/burdockchute-testing/burdockchute_testing/sessions.py
+++ b/packages/burdockchute-testing/burdockchute_testing/sessions.py
@@ -1,8 +1,8 @@
-"""Whole sessions between callers and an entry, as text to compare.
+"""Transcripts of sessions between callers and an entry.
 
-Each exchange is written out as it went over the connection, with ids, times
-and digests replaced by names, so that two runs of a sound system give the
-same text.
+Each exchange is written as it went over the connection, with ids, times and
+digests replaced by names, so that two runs of a correct system give the same
+text.
 """
 
 from __future__ import annotations
@@ -14,14 +14,18 @@
 
 from burdockchute_testing import client
 
-# Headers that say nothing about the promise of an answer.
-_LEFT_OUT = ('date', 'server', 'connection', 'content-length')
+# Headers that are not part of the interface under test.
+_OMITTED_HEADERS = ('date', 'server', 'connection', 'content-length')
 _REQUEST_ID = re.compile(r'\b[0-9a-f]{32}\b')
 _SECONDS = re.compile(r'\bin [0-9.]+ s\b')
 
 
 class Session:
-    """Exchanges with one entry; `names` replaces texts, such as digests."""
+    """Exchanges with one entry.
+
+    `names` maps variable texts, such as digests, to the names that replace
+    them.
+    """
 
     def __init__(self, url: str, names: Mapping[str, str]) -> None:
         self._url = url
@@ -30,7 +34,7 @@
         self._lines: list[str] = []
 
     def note(self, text: str) -> None:
-        """Say in the session what happens next."""
+        """Add a comment line to the transcript."""
         self._lines.append(f'# {text}')
 
     def exchange(
@@ -40,7 +44,7 @@
         headers: Mapping[str, str],
         method: str = 'POST',
     ) -> client.Response:
-        """Send a request and write both sides down."""
+        """Send a request and add request and response to the transcript."""
         body = json.dumps(document).encode()
         sent = {'Content-Type': 'application/json', **headers}
         got = client.call(method, self._url + path, body, sent)
@@ -53,7 +57,7 @@
         return got
 
     def text(self) -> str:
-        """Give the session with all names replaced."""
+        """Return the transcript with variable texts replaced by names."""
         text = '\n'.join(self._lines)
         for value, name in self._names.items():
             text = text.replace(value, f'<{name}>')
@@ -69,9 +73,9 @@
 
 
 def _headers(headers: Mapping[str, Any]) -> list[str]:
-    shown = {name.lower(): value for name, value in headers.items()}
+    lower_case = {name.lower(): value for name, value in headers.items()}
     return [
         f'{name}: {value}'
-        for name, value in sorted(shown.items())
-        if name not in _LEFT_OUT
+        for name, value in sorted(lower_case.items())
+        if name not in _OMITTED_HEADERS
     ]
--- a/packages/burdockchute-testing/tests/test_events_page.py
+++ b/packages/burdockchute-testing/tests/test_events_page.py
@@ -1,4 +1,4 @@
-"""The page of events and the code say the same."""
+"""The reference page of log events matches the code."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     yield from ROOT.glob('platform/burdockchute_platform/*.py')
 
 
-def written() -> dict[str, set[str]]:
-    """Give the fields of each event that the code names."""
+def events_in_code() -> dict[str, set[str]]:
+    """Return the fields of each event in the code."""
     found: dict[str, set[str]] = {}
     for path in sources():
         for node in ast.walk(ast.parse(path.read_text())):
@@ -46,8 +46,8 @@
     return '', set()
 
 
-def documented() -> dict[str, set[str]]:
-    """Give the fields of each event on the page."""
+def events_on_page() -> dict[str, set[str]]:
+    """Return the fields of each event on the page."""
     found = {}
     for line in PAGE.read_text().splitlines():
         cells = line.split('|')
@@ -58,22 +58,22 @@
 
 
 class EventsPageTest(unittest.TestCase):
-    """An engineer on call meets a line whose event no page explains."""
+    """Guards against log events that the reference page doesn't explain."""
 
     def test_each_event_has_its_row(self):
-        self.assertEqual(set(), set(written()) - set(documented()))
+        self.assertEqual(set(), set(events_in_code()) - set(events_on_page()))
 
     def test_each_field_is_in_its_row(self):
-        rows = documented()
+        rows = events_on_page()
         missing = {
             name: fields - rows.get(name, set())
-            for name, fields in written().items()
+            for name, fields in events_in_code().items()
         }
         self.assertEqual({}, {n: f for n, f in missing.items() if f})
 
     def test_no_row_without_its_event(self):
         text = ''.join(path.read_text() for path in sources())
-        stale = {name for name in documented() if f"'{name}'" not in text}
+        stale = {name for name in events_on_page() if f"'{name}'" not in text}
         self.assertEqual(set(), stale)
 
 
--- a/packages/burdockchute-testing/tests/test_golden.py
+++ b/packages/burdockchute-testing/tests/test_golden.py
@@ -1,6 +1,6 @@
-"""Whole sessions of callers, compared with the files in golden/.
+"""Transcripts of callers' sessions, compared with the files in golden/.
 
-`BURDOCKCHUTE_WRITE_GOLDEN=1` writes the files anew; read the difference.
+`BURDOCKCHUTE_WRITE_GOLDEN=1` regenerates the files; review the difference.
 """
 
 from __future__ import annotations
--- a/packages/burdockchute-testing/tests/test_history.py
+++ b/packages/burdockchute-testing/tests/test_history.py
@@ -1,4 +1,4 @@
-"""The checker finds each breach in histories that are known to be wrong."""
+"""The checker finds each kind of violation in invalid histories."""
 
 from __future__ import annotations
 
