--- a/packages/burdockchute-testing/burdockchute_testing/demo.py
+++ b/packages/burdockchute-testing/burdockchute_testing/demo.py
@@ -1,9 +1,9 @@
-"""The main job on real processes, in under two minutes: `make demo`.
+"""A demonstration on real processes, in under two minutes: `make demo`.
 
 Starts stand-ins for the platform and the upstreams, two entries and an agent
 for each upstream; edits the table as an operator does; sends requests as
-callers do; rolls out a second version under traffic; stops all of it
-gracefully. Exits 1 if any answer was wrong.
+callers do; rolls out a second version under traffic; and stops all processes
+gracefully. The exit status is 1 if any answer was wrong.
 """
 
 from __future__ import annotations
@@ -38,9 +38,9 @@
 LINK_BYTES_PER_S = 16 * 1024 * 1024
 ORIGIN_BYTES_PER_S = 16 * 1024 * 1024
 CALLERS = 6
-SENDINGS = 8
+MAX_ATTEMPTS = 8
 SEED = 1
-PROGRESS_S = 1.0
+PROGRESS_INTERVAL_S = 1.0
 
 GRAZ = Location('graz-1', 'graz', 'story')
 VIENNA = Location('vienna-1', 'vienna', 'story')
@@ -61,25 +61,25 @@
 
 
 class Caller(NamedTuple):
-    """Who sends to which entry."""
+    """A customer and the entry that it uses."""
 
     customer: str
     entry: str
 
 
 class Demo:
-    """The running system and everything that its callers saw."""
+    """The running system and the recorded calls."""
 
     def __init__(self, system: System) -> None:
         self.system = system
         self.calls: list[Call] = []
         self.digests: dict[str, str] = {}
-        self.traffic_on = True
+        self.is_running = True
 
     def send_until_run(self, caller: Caller, spec: calls.CallSpec) -> Call:
-        """Send until it ran, as a caller does who heeds not-run."""
+        """Send again while the outcome is not-run, after the time it names."""
         url = self.system.url(caller.entry, 'http_port')
-        for _sending in range(SENDINGS):
+        for _attempt in range(MAX_ATTEMPTS):
             call = calls.send(
                 url, BEARERS[caller.customer], spec, caller.entry
             )
@@ -90,14 +90,14 @@
         return call
 
     def run_callers(self) -> list[gevent.Greenlet]:
-        """Start callers that go on until `traffic_on` is false."""
-        return [gevent.spawn(self._call_on, n) for n in range(CALLERS)]
+        """Start callers that send requests until `is_running` is false."""
+        return [gevent.spawn(self._run_caller, n) for n in range(CALLERS)]
 
-    def _call_on(self, number: int) -> None:
+    def _run_caller(self, number: int) -> None:
         rng = random.Random(SEED * 1000 + number)
         caller = Caller('lindwurm', f'entry-{number % 2 + 1}')
         count = 0
-        while self.traffic_on:
+        while self.is_running:
             count += 1
             spec = calls.completion(
                 f't{number}-{count}',
@@ -111,21 +111,21 @@
 
 
 def main() -> int:
-    """Run the demo and give its exit status."""
+    """Run the demo and return its exit status."""
     started = time.monotonic()
     with System() as system:
         demo = Demo(system)
-        _say('starting the platform, 8 upstreams, 8 agents, 2 entries')
+        _print('starting the platform, 8 upstreams, 8 agents, 2 entries')
         _start(system)
         _publish(demo)
         _wait_live(demo, 'first versions', 'story', 'letters', 'rhymes')
         _send_examples(demo)
         _roll_out(demo)
         statuses = _stop(system)
-        wrong = _judge(demo, statuses)
+        violations = _check_results(demo, statuses)
     took_s = time.monotonic() - started
-    _say(f'finished in {took_s:.0f} s, {len(wrong)} findings')
-    return 1 if wrong else 0
+    _print(f'finished in {took_s:.0f} s, {len(violations)} findings')
+    return 1 if violations else 0
 
 
 def _start(system: System) -> None:
@@ -135,7 +135,7 @@
     system.add_entry('entry-1', GRAZ._replace(pool='entry'))
     system.add_entry('entry-2', VIENNA._replace(pool='entry'))
     for number, (name, location) in enumerate(ENGINES):
-        # Some deployments check fencing numbers and others don't.
+        # Some engines check fencing numbers and others don't.
         system.add_engine(name, ignores_fencing=number % 2 == 1, seed=number)
         system.add_agent(
             f'agent-{name}',
@@ -156,7 +156,7 @@
 
 def _publish(demo: Demo) -> None:
     system = demo.system
-    _say('an operator saves the rows of the table')
+    _print('an operator saves the rows of the table')
     for name, size, seed in (
         ('story', SIZE, 1),
         ('letters', SIZE, 2),
@@ -199,21 +199,21 @@
         'rhymes': STORY_AGENTS,
         'letters': LETTER_AGENTS,
     }
-    wanted = {name: (demo.digests[name], agents[name]) for name in names}
-    total = sum(len(agents) for _digest, agents in wanted.values())
+    targets = {name: (demo.digests[name], agents[name]) for name in names}
+    total = sum(len(agents) for _digest, agents in targets.values())
     started = time.monotonic()
-    shown = 0.0
+    printed_at = 0.0
 
     def live() -> int:
-        nonlocal shown
+        nonlocal printed_at
         count = sum(
             _open_on(demo.system, digest, agents)
-            for digest, agents in wanted.values()
+            for digest, agents in targets.values()
         )
-        passed = time.monotonic() - started
-        if passed - shown >= PROGRESS_S or count == total:
-            shown = passed
-            _say(f'  {what}: live on {count} of {total} ({passed:.1f} s)')
+        elapsed_s = time.monotonic() - started
+        if elapsed_s - printed_at >= PROGRESS_INTERVAL_S or count == total:
+            printed_at = elapsed_s
+            _print(f'  {what}: live on {count} of {total} ({elapsed_s:.1f} s)')
         return count == total
 
     harness.wait_until(live, f'{what} are live')
@@ -248,24 +248,24 @@
         (sahyog, calls.completion('reply-1', 'letters', 'to the clerk')),
         (sahyog, letter),
         (lindwurm, proof),
-        # The same print proof again, at the other entry: it may not run.
+        # The same print proof again, at the other entry: it must not run.
         (Caller('lindwurm', 'entry-2'), proof),
     )
-    _say('callers send requests')
-    _say(f'  {"request":<11}{"entry":<9}{"as":<22}{"outcome":<10}digest')
+    _print('callers send requests')
+    _print(f'  {"request":<11}{"entry":<9}{"as":<22}{"outcome":<10}digest')
     for caller, spec in examples:
         _show(demo.send_until_run(caller, spec))
 
 
 def _show(call: Call) -> None:
     spec = call.spec
-    manner = 'streamed' if spec.stream else 'plain'
-    once = '' if spec.idempotent else ', non-idempotent'
+    mode = 'streamed' if spec.stream else 'plain'
+    suffix = '' if spec.idempotent else ', non-idempotent'
     digests = call.digest[:12]
     if call.adapter_digest:
         digests += f' + {call.adapter_digest[:12]}'
-    _say(
-        f'  {spec.marker:<11}{call.entry:<9}{manner + once:<22} '
+    _print(
+        f'  {spec.marker:<11}{call.entry:<9}{mode + suffix:<22} '
         f'{call.outcome:<9} {digests or call.error or "-"}'
     )
 
@@ -278,59 +278,63 @@
     callers = demo.run_callers()
     gevent.sleep(1.0)
     before = len(demo.calls)
-    _say(f'an operator names version v2 of story, {new[:12]}, under traffic')
+    _print(f'an operator names version v2 of story, {new[:12]}, under traffic')
     started = time.monotonic()
     system.set_row('model', 'story', version='v2', digest=new)
     _wait_live(demo, 'version v2', 'story')
     live_s = time.monotonic() - started
     gevent.sleep(1.0)
-    demo.traffic_on = False
+    demo.is_running = False
     gevent.joinall(callers)
-    made = demo.calls[before:]
-    by_digest = collections.Counter(c.digest for c in made if c.digest)
-    outcomes = collections.Counter(call.outcome for call in made)
+    sent = demo.calls[before:]
+    by_digest = collections.Counter(c.digest for c in sent if c.digest)
+    outcomes = collections.Counter(call.outcome for call in sent)
     stats = client.get(f'{system.url("store")}/stats').json()
     copies = stats['by_digest'].get(new, 0) / SIZE
-    _say(f'  live on all 4 replicas {live_s:.1f} s after it was saved')
-    _say(f'  read from the origin: {copies:.2f} copies')
-    _say(
-        f'  {len(made)} requests meanwhile: {by_digest[old]} answered by v1, '
+    _print(f'  live on all 4 replicas {live_s:.1f} s after it was saved')
+    _print(f'  read from the origin: {copies:.2f} copies')
+    _print(
+        f'  {len(sent)} requests meanwhile: {by_digest[old]} answered by v1, '
         f'{by_digest[new]} by v2; outcomes {dict(outcomes)}'
     )
 
 
 def _stop(system: System) -> dict[str, int]:
-    _say('stopping all processes gracefully')
-    ours = [*system.entries, *system.agents]
-    statuses = system.terminate(*ours)
-    rest = [name for name in system.processes if name not in ours]
-    return {**statuses, **system.terminate(*rest)}
+    _print('stopping all processes gracefully')
+    own_processes = [*system.entries, *system.agents]
+    statuses = system.terminate(*own_processes)
+    stand_ins = [
+        name for name in system.processes if name not in own_processes
+    ]
+    return {**statuses, **system.terminate(*stand_ins)}
 
 
-def _judge(demo: Demo, statuses: dict[str, int]) -> list[Finding]:
+def _check_results(demo: Demo, statuses: dict[str, int]) -> list[Finding]:
     recorded = history.History(
         tuple(demo.calls), history.runs_of(demo.system.runs())
     )
-    wrong = history.check(recorded)
+    violations = history.check(recorded)
     last = {call.spec.marker: call for call in demo.calls}
     for call in last.values():
         if call.outcome != calls.ANSWERED:
-            wrong.append(Finding(call.spec.marker, f'not answered: {call}'))
+            violations.append(
+                Finding(call.spec.marker, f'not answered: {call}')
+            )
     for name, status in statuses.items():
         if status:
-            wrong.append(Finding(name, f'exited with {status}'))
+            violations.append(Finding(name, f'exited with {status}'))
     answered = sum(c.outcome == calls.ANSWERED for c in demo.calls)
-    _say(
+    _print(
         f'{len(demo.calls)} requests, {answered} answered, '
         f'{len(recorded.runs)} runs; each answer checked against its weights'
     )
-    _say('the page proof was sent to both entries and runs once')
-    if wrong:
-        _say(findings.render_all(wrong))
-    return wrong
+    _print('the page proof was sent to both entries and runs once')
+    if violations:
+        _print(findings.render_all(violations))
+    return violations
 
 
-def _say(text: str) -> None:
+def _print(text: str) -> None:
     print(text, flush=True)
 
 
--- a/packages/burdockchute-testing/burdockchute_testing/forwarder.py
+++ b/packages/burdockchute-testing/burdockchute_testing/forwarder.py
@@ -1,4 +1,4 @@
-"""A TCP forwarder that fails in the ways that networks do."""
+"""A TCP forwarder that simulates network faults."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 ADDRESS = '127.0.0.1'
 _READ_BYTES = 65536
-# Closing with no time to linger resets the connection.
+# Closing a socket with a linger time of 0 resets the connection.
 _NO_LINGER = struct.pack('ii', 1, 0)
 
 
 class Address(NamedTuple):
-    """An address of the loopback; port 0 takes any free one."""
+    """A loopback address; port 0 stands for any free port."""
 
     ip: str
     port: int
@@ -29,19 +29,20 @@
         return f'{self.ip}:{self.port}'
 
 
-ANYWHERE = Address(ADDRESS, 0)
+ANY_PORT = Address(ADDRESS, 0)
 
 
 class Forwarder:
-    """Forwards an own address to another one of the loopback.
+    """Forwards connections from its own address to a loopback address.
 
-    After `cut` no byte goes through and no error comes back, on old and on
-    new connections, until `heal`; connections from before then break. A cut
-    of one way lets the other through. `delay_s` holds back what goes either
-    way.
+    After `cut`, no byte passes and no error is returned, on established and
+    on new connections, until `heal`, which resets the connections made before
+    it. One direction can be cut alone. `delay_s` delays the data in both
+    directions.
 
-    Connections whose first bytes are `exempt` go through in any case: those
-    of a process on the same machine, which shares no link with others.
+    Connections for whose first bytes `exempt` is true are not affected by
+    faults. This is meant for processes on the same machine, whose traffic
+    crosses no network.
 
     >>> forwarder = Forwarder(8080)  # doctest: +SKIP
     >>> forwarder.cut(backward=False)  # doctest: +SKIP
@@ -50,8 +51,8 @@
     def __init__(
         self,
         target: int | Address,
-        own: Address = ANYWHERE,
-        exempt: Callable[[bytes], bool] = lambda first: False,
+        listen_address: Address = ANY_PORT,
+        exempt: Callable[[bytes], bool] = lambda first_bytes: False,
     ) -> None:
         self.delay_s = 0.0
         self._target = (
@@ -60,43 +61,43 @@
         self._exempt = exempt
         self._forward_gate = _open_gate()
         self._backward_gate = _open_gate()
-        self._socks: list[Any] = []
-        self._server = server.StreamServer(own, self._handle)
+        self._sockets: list[Any] = []
+        self._server = server.StreamServer(listen_address, self._handle)
         self._server.start()
 
     @property
     def address(self) -> Address:
-        """Give the address to connect to."""
+        """The address to connect to."""
         return Address(self._server.server_host, self._server.server_port)
 
     @property
     def port(self) -> int:
-        """Give the port to connect to."""
+        """The port to connect to."""
         return self.address.port
 
     @property
     def url(self) -> str:
-        """Give the URL to connect to."""
+        """The URL to connect to."""
         return f'http://{self.address}'
 
     def cut(self, forward: bool = True, backward: bool = True) -> None:
-        """Drop all bytes towards the target, back from it, or both ways."""
+        """Block the data towards the target, back from it, or both ways."""
         if forward:
             self._forward_gate.clear()
         if backward:
             self._backward_gate.clear()
 
     def heal(self) -> None:
-        """Let everything through; breaks the connections from before."""
+        """Forward all data again; resets the connections made before."""
         self.delay_s = 0.0
         self.reset()
         self._forward_gate.set()
         self._backward_gate.set()
 
     def reset(self) -> None:
-        """Break all connections but those that are exempt."""
-        socks, self._socks = self._socks, []
-        for sock in socks:
+        """Reset all connections that are not exempt."""
+        faulty_sockets, self._sockets = self._sockets, []
+        for sock in faulty_sockets:
             _reset(sock)
 
     def close(self) -> None:
@@ -104,41 +105,59 @@
         self.heal()
         self._server.stop(timeout=0)
 
-    def _handle(self, near: Any, _address: Any) -> None:
-        self._socks.append(near)
+    def _handle(self, client_socket: Any, _address: Any) -> None:
+        self._sockets.append(client_socket)
         try:
-            first = near.recv(_READ_BYTES)
-            exempt = self._exempt(first)
+            first_bytes = client_socket.recv(_READ_BYTES)
+            exempt = self._exempt(first_bytes)
             if not exempt:
                 self._forward_gate.wait()
-            far = socket.create_connection(self._target)
+            target_socket = socket.create_connection(self._target)
         except OSError:
-            near.close()
+            client_socket.close()
             return
         if exempt:
-            self._join(near, far, first, _open_gate(), _open_gate(), False)
+            self._relay(
+                client_socket,
+                target_socket,
+                first_bytes,
+                _open_gate(),
+                _open_gate(),
+                False,
+            )
         else:
-            self._join(
-                near, far, first, self._forward_gate, self._backward_gate, True
+            self._relay(
+                client_socket,
+                target_socket,
+                first_bytes,
+                self._forward_gate,
+                self._backward_gate,
+                True,
             )
 
-    def _join(
+    def _relay(
         self,
-        near: Any,
-        far: Any,
-        first: bytes,
+        client_socket: Any,
+        target_socket: Any,
+        first_bytes: bytes,
         forward: event.Event,
         backward: event.Event,
-        delays: bool,
+        is_faulty: bool,
     ) -> None:
-        if delays:
-            self._socks.append(far)
-        elif near in self._socks:
-            self._socks.remove(near)
-        answers = gevent.spawn(self._pump, far, near, b'', backward, delays)
-        self._pump(near, far, first, forward, delays)
-        answers.join()
-        self._socks = [s for s in self._socks if s not in (near, far)]
+        if is_faulty:
+            self._sockets.append(target_socket)
+        elif client_socket in self._sockets:
+            self._sockets.remove(client_socket)
+        backward_pump = gevent.spawn(
+            self._pump, target_socket, client_socket, b'', backward, is_faulty
+        )
+        self._pump(
+            client_socket, target_socket, first_bytes, forward, is_faulty
+        )
+        backward_pump.join()
+        self._sockets = [
+            s for s in self._sockets if s not in (client_socket, target_socket)
+        ]
 
     def _pump(
         self,
@@ -146,18 +165,18 @@
         target: Any,
         data: bytes,
         gate: event.Event,
-        delays: bool,
+        is_faulty: bool,
     ) -> None:
         try:
             data = data or source.recv(_READ_BYTES)
             while data:
-                if delays and self.delay_s:
+                if is_faulty and self.delay_s:
                     gevent.sleep(self.delay_s)
                 gate.wait()
                 target.sendall(data)
                 data = source.recv(_READ_BYTES)
         except OSError:
-            # One end was reset or closed; the other learns of it here.
+            # One end was reset or closed; closing both tells the other end.
             pass
         for sock in (source, target):
             sock.close()
@@ -172,9 +191,9 @@
 def _reset(sock: Any) -> None:
     try:
         sock.setsockopt(sockets.SOL_SOCKET, sockets.SO_LINGER, _NO_LINGER)
-        # A reader of this socket wakes up only if it is shut down first.
+        # A greenlet that reads this socket only wakes up on a shutdown.
         sock.shutdown(sockets.SHUT_RD)
     except OSError:
-        # It is closed already.
+        # The socket is closed already.
         pass
     sock.close()
--- a/packages/burdockchute-testing/burdockchute_testing/harness.py
+++ b/packages/burdockchute-testing/burdockchute_testing/harness.py
@@ -1,11 +1,11 @@
-"""A whole system on the loopback, for tests, the demo and the benches.
+"""A complete system on loopback, for tests, the demo and the benches.
 
 >>> with System() as system:  # doctest: +SKIP
 ...     system.add_platform()
 ...     entry = system.add_entry('e1')
 ...     system.set_row('customer', 'lindwurm', key_digests='...')
 
-Everything that was started is ended when the block is left.
+All processes are killed when the block ends.
 """
 
 from __future__ import annotations
@@ -32,14 +32,14 @@
 ADDRESS = '127.0.0.1'
 WAIT_TIMEOUT_S = 60.0
 COMMAND_TIMEOUT_S = 60.0
-KEEP_VARIABLE = 'BURDOCKCHUTE_KEEP_LOGS'
+KEEP_LOGS_VARIABLE = 'BURDOCKCHUTE_KEEP_LOGS'
 _POLL_S = 0.05
 
 ValueT = TypeVar('ValueT')
 
 
 class Location(NamedTuple):
-    """Where an instance stands."""
+    """The location of an instance."""
 
     zone: str = 'graz-1'
     region: str = 'graz'
@@ -47,7 +47,7 @@
 
 
 class Command(NamedTuple):
-    """A command that has ended."""
+    """The result of a command."""
 
     status: int
     out: str
@@ -55,7 +55,7 @@
 
 
 class WaitTimeout(Exception):  # noqa: N818
-    """Something did not happen in the generous time that it was given."""
+    """A condition was not met within its timeout."""
 
 
 class System:
@@ -80,20 +80,24 @@
         self.close(keep_logs=exc is not None)
 
     def close(self, keep_logs: bool = False) -> None:
-        """End what still runs, at once, and remove the logs."""
+        """Kill all running processes and remove the logs.
+
+        With `keep_logs` and the variable `BURDOCKCHUTE_KEEP_LOGS` set, the
+        logs are kept.
+        """
         for process in self.processes.values():
             process.kill()
-        if keep_logs and os.environ.get(KEEP_VARIABLE):
+        if keep_logs and os.environ.get(KEEP_LOGS_VARIABLE):
             print(f'logs are kept in {self.folder}', file=sys.stderr)
             return
         shutil.rmtree(self.folder, ignore_errors=True)
 
     def __getitem__(self, name: str) -> Process:
-        """Give a process by name."""
+        """Return a process by name."""
         return self.processes[name]
 
     def url(self, name: str, port: str = 'port') -> str:
-        """Give the base URL of a process; `port` names one of its ports."""
+        """Return the base URL of a process; `port` names one of its ports."""
         return f'http://{ADDRESS}:{self.processes[name].ports[port]}'
 
     def add_platform(
@@ -102,13 +106,16 @@
         store: dict[str, Any] | None = None,
         instances: dict[str, Any] | None = None,
     ) -> None:
-        """Start log, store and instances with options by their flags."""
+        """Start the stand-ins of log, store and instance list.
+
+        Options are named like the stand-ins' flags.
+        """
         self.add_stand_in('log', 'log_service', **(log or {}))
         self.add_stand_in('store', 'weight_store', **(store or {}))
         self.add_stand_in('instances', 'instance_list', **(instances or {}))
 
     def add_stand_in(self, name: str, module: str, **options: Any) -> str:
-        """Start a stand-in and give its URL."""
+        """Start a stand-in and return its URL."""
         command = [
             sys.executable,
             '-m',
@@ -119,11 +126,11 @@
         return self.url(name)
 
     def add_engine(self, name: str, **options: Any) -> str:
-        """Start an engine and give its URL."""
+        """Start an engine and return its URL."""
         return self._add_upstream(name, 'engine', options)
 
     def add_service(self, name: str, service: str, **options: Any) -> str:
-        """Start a plain service and give its URL."""
+        """Start a plain service and return its URL."""
         return self._add_upstream(
             name, 'service', {'service': service, **options}
         )
@@ -134,7 +141,7 @@
         location: Location = Location(),  # noqa: B008
         **options: Any,
     ) -> str:
-        """Start and list an entry; give the URL for callers."""
+        """Start and list an entry; return its URL for callers."""
         settings = {
             'name': name,
             'zone': location.zone,
@@ -159,7 +166,7 @@
         listed: bool = True,
         **options: Any,
     ) -> None:
-        """Start and list an agent beside an upstream of that name."""
+        """Start an agent for the named upstream and list it."""
         settings = {
             'name': name,
             'zone': location.zone,
@@ -187,9 +194,10 @@
         state: str = 'live',
         port: int = 0,
     ) -> None:
-        """Put an instance into the platform's list.
+        """Add an instance to the platform's list.
 
-        `port` is given where others reach it through a relay.
+        `port` overrides the instance's own port if others reach it through a
+        relay.
         """
         instance = {
             'name': name,
@@ -202,17 +210,17 @@
         client.post(f'{self.url("instances")}/instances', instance)
 
     def unlist_instance(self, name: str) -> None:
-        """Take an instance out of the platform's list."""
+        """Remove an instance from the platform's list."""
         client.call('DELETE', f'{self.url("instances")}/instances/{name}')
 
     def set_faults(self, name: str, **faults: Any) -> None:
-        """Set the faults of a stand-in; none makes it whole."""
+        """Replace the faults of a stand-in; without any, clear them."""
         answer = client.post(f'{self.url(name)}/faults', faults)
         if answer.status != 200:
             raise ValueError(answer.body.decode())
 
     def publish(self, name: str, size: int, chunk_size: int, seed: int) -> str:
-        """Put weights into the store and give their digest."""
+        """Publish weights to the store and return their digest."""
         document = {
             'name': name,
             'size': size,
@@ -229,7 +237,7 @@
             'BURDOCKCHUTE_LOG_URL': self.url('log'),
             'BURDOCKCHUTE_INSTANCES_URL': self.url('instances'),
         }
-        done = subprocess.run(
+        completed = subprocess.run(
             [_binary('burdockchute-entry'), 'table', *arguments],
             capture_output=True,
             text=True,
@@ -237,22 +245,24 @@
             env=environ,
             stdin=subprocess.DEVNULL,
         )
-        return Command(done.returncode, done.stdout, done.stderr)
+        return Command(
+            completed.returncode, completed.stdout, completed.stderr
+        )
 
     def set_row(self, kind: str, name: str, **columns: Any) -> Command:
-        """Edit one row through the command; raises ValueError if refused."""
+        """Edit one row with the command; raises ValueError if refused."""
         values = [f'{key}={value}' for key, value in columns.items()]
-        done = self.table('set', '--yes', f'{kind}/{name}', *values)
-        if done.status:
-            raise ValueError(f'{kind}/{name}: {done.out}{done.err}')
-        return done
+        completed = self.table('set', '--yes', f'{kind}/{name}', *values)
+        if completed.status:
+            raise ValueError(f'{kind}/{name}: {completed.out}{completed.err}')
+        return completed
 
     def status(self, name: str) -> dict[str, Any]:
-        """Give the status page of an entry or agent."""
+        """Return the status page of an entry or agent."""
         return client.get(f'{self.url(name, "admin_port")}/status').json()
 
     def ready(self, name: str) -> bool:
-        """Whether an entry or agent says that it is ready."""
+        """Whether an entry or agent reports that it is ready."""
         url = f'{self.url(name, "admin_port")}/readyz'
         try:
             return client.get(url).status == 200
@@ -265,17 +275,17 @@
             wait_until(functools.partial(self.ready, name), f'{name} is ready')
 
     def engine_digests(self, name: str) -> set[str]:
-        """Give the digests of the models that an engine has loaded."""
+        """Return the digests of the models that an engine has loaded."""
         state = client.get(f'{self.url(name)}/state').json()
         return {item['digest'] for item in state['loaded']}
 
     def open_digests(self, agent: str) -> set[str]:
-        """Give the digests for which an agent takes requests."""
+        """Return the digests for which an agent accepts requests."""
         weights = self.status(agent)['weights']
         return {w['digest'] for w in weights if w['phase'] == 'open'}
 
     def runs(self) -> list[dict[str, Any]]:
-        """Give all runs of all upstreams, also of those that died."""
+        """Return the runs of all upstreams, including killed ones."""
         return [
             {**run, 'upstream': name}
             for name, path in self.history_files.items()
@@ -283,7 +293,7 @@
         ]
 
     def terminate(self, *names: str) -> dict[str, int]:
-        """Ask processes to end gracefully and give their statuses."""
+        """Stop processes gracefully and return their exit statuses."""
         for name in names:
             self.processes[name].terminate()
         return {name: self.processes[name].wait() for name in names}
@@ -309,9 +319,9 @@
 def wait_until(
     probe: Callable[[], ValueT], what: str, timeout_s: float = WAIT_TIMEOUT_S
 ) -> ValueT:
-    """Wait until the probe gives something true, and give that.
+    """Wait until the probe returns a true value, and return it.
 
-    Raises Waited if it does not within the time, in seconds.
+    Raises WaitTimeout after `timeout_s` seconds.
     """
     until = time.monotonic() + timeout_s
     while True:
--- a/packages/burdockchute-testing/burdockchute_testing/processes.py
+++ b/packages/burdockchute-testing/burdockchute_testing/processes.py
@@ -1,7 +1,7 @@
 """Child processes of tests, the demo and the benches.
 
-Each child's output goes to files in a folder. A child ends when the process
-that started it ends, however that comes about.
+The output of a child goes to files in a folder. The kernel kills a child when
+its parent process ends for any reason.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 import subprocess
 import time
 
-# Generous: a loaded machine starts a process in seconds, not in this.
+# A wide margin: even on a loaded machine a process starts in seconds.
 START_TIMEOUT_S = 60.0
 STOP_TIMEOUT_S = 30.0
 _POLL_S = 0.02
@@ -29,11 +29,14 @@
 
 
 class ProcessFailed(Exception):  # noqa: N818
-    """A child ended or did not come up; the text has the end of its log."""
+    """A child ended, or did not start or stop in time.
+
+    The text includes the end of its log.
+    """
 
 
 class Process:
-    """One child; `ports` has the ports it told, by name."""
+    """One child; `ports` maps names to the ports that it has printed."""
 
     def __init__(
         self, name: str, command: Sequence[str], folder: pathlib.Path
@@ -42,8 +45,8 @@
         self.ports: dict[str, int] = {}
         self.out = folder / f'{name}.out'
         self.err = folder / f'{name}.err'
-        # A process that is started again goes on with the files of the one
-        # before; what that one told of its ports is no longer true.
+        # A restarted process appends to the files of the previous one, whose
+        # ports are no longer valid.
         self._out_start = _size_of(self.out)
         self._err_start = _size_of(self.err)
         with open(self.out, 'ab') as out, open(self.err, 'ab') as err:
@@ -52,21 +55,21 @@
                 stdin=subprocess.DEVNULL,
                 stdout=out,
                 stderr=err,
-                preexec_fn=_end_with_parent,
+                preexec_fn=_kill_with_parent,
             )
 
     @property
     def pid(self) -> int:
-        """Give the process id."""
+        """The process id."""
         return self._child.pid
 
     @property
     def status(self) -> int | None:
-        """Give the exit status, None while it runs."""
+        """The exit status, None while the process runs."""
         return self._child.poll()
 
     def wait_ports(self, read: Callable[[Process], dict[str, int]]) -> None:
-        """Wait until the child has told its ports; raises ProcessFailed."""
+        """Wait until the child has printed its ports; raises ProcessFailed."""
         until = time.monotonic() + START_TIMEOUT_S
         while not self.ports:
             if self.status is not None or time.monotonic() > until:
@@ -78,39 +81,39 @@
             self.ports = read(self)
 
     def kill(self) -> None:
-        """End it at once, as when an instance dies."""
+        """Kill the process, to simulate the crash of an instance."""
         self._signal(signal.SIGKILL)
         self._child.wait(STOP_TIMEOUT_S)
 
     def pause(self) -> None:
-        """Stop it without its notice, as when an instance hangs."""
+        """Suspend the process, to simulate a hanging instance."""
         self._signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let it go on after a pause."""
+        """Resume the process after a pause."""
         self._signal(signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Ask it to end gracefully."""
+        """Send SIGTERM, which requests a graceful shutdown."""
         self._signal(signal.SIGTERM)
 
     def handles_sighup(self) -> bool:
-        """Tell whether it has a handler for a request to reload by now."""
+        """Whether the process has installed its handler of SIGHUP."""
         try:
             status = pathlib.Path(f'/proc/{self.pid}/status').read_text()
         except OSError:
-            # It has ended.
+            # The process has ended.
             return False
         caught = re.search(r'^SigCgt:\s*([0-9a-f]+)$', status, re.MULTILINE)
         bit = 1 << (signal.SIGHUP - 1)
         return caught is not None and bool(int(caught[1], 16) & bit)
 
     def send_sighup(self) -> None:
-        """Ask it to read its settings again."""
+        """Send SIGHUP, which requests a reload of the settings."""
         self._signal(signal.SIGHUP)
 
     def wait(self, timeout_s: float = STOP_TIMEOUT_S) -> int:
-        """Wait for its end and give the status; raises ProcessFailed."""
+        """Wait for the exit and return the status; raises ProcessFailed."""
         try:
             return self._child.wait(timeout_s)
         except subprocess.TimeoutExpired as exc:
@@ -119,15 +122,15 @@
             ) from exc
 
     def output(self) -> str:
-        """Give all that it wrote to stdout."""
+        """Return the process's output to stdout."""
         return _read_from(self.out, self._out_start)
 
     def log(self) -> str:
-        """Give all that it wrote to stderr."""
+        """Return the process's output to stderr."""
         return _read_from(self.err, self._err_start)
 
     def tail(self, lines: int = 20) -> str:
-        """Give the end of its log."""
+        """Return the last lines of the log."""
         return '\n'.join(self.log().splitlines()[-lines:])
 
     def _signal(self, number: int) -> None:
@@ -159,8 +162,8 @@
         return lines.read().decode(errors='replace')
 
 
-def _end_with_parent() -> None:
-    # A killed test run would otherwise leave its children behind, which an
-    # operator of the machine would find eating memory days later.
+def _kill_with_parent() -> None:
+    # Without this, the children of a killed test run would go on and use
+    # memory for days.
     _LIBC.prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
     os.setpgid(0, 0)
--- a/packages/burdockchute-testing/burdockchute_testing/site.py
+++ b/packages/burdockchute-testing/burdockchute_testing/site.py
@@ -1,4 +1,4 @@
-"""A small site for tests of failures: entries, engines, a service, rows."""
+"""A small site for failure tests: entries, engines, services and rows."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 
 class Site:
-    """A running system and all that its callers saw.
+    """A running system and the recorded calls.
 
-    Engines are m1, m2..., their agents am1, am2...; the service is s1 with
-    agent as1. `options` go to each engine. The agents of `relayed` engines
-    are reached through a relay.
+    Engines are named m1, m2..., with the agents am1, am2...; services are
+    named s1, s2..., with the agents as1, as2... `options` are passed to each
+    engine. The agents of `relayed` engines are reached through a relay.
     """
 
     def __init__(
@@ -56,13 +56,13 @@
             raise
 
     def close(self) -> None:
-        """End everything."""
+        """Kill all processes and close the relays."""
         for relay in self.relays.values():
             relay.close()
         self.system.close()
 
     def add_engine(self, name: str, **options: Any) -> None:
-        """Start an engine with its agent."""
+        """Start an engine and its agent."""
         self.system.add_engine(name, **options)
         agent, relayed = f'a{name}', name in self._relayed
         self.system.add_agent(agent, name, stall_s=3, listed=not relayed)
@@ -72,12 +72,12 @@
             self.system.list_instance(agent, 'agent', port=relay.port)
 
     def add_service(self, name: str) -> None:
-        """Start a plain service with its agent."""
+        """Start a plain service and its agent."""
         self.system.add_service(name, 'proofs', seconds=0.05)
         self.system.add_agent(f'a{name}', name, services='proofs')
 
     def set_model(self, version: int) -> str:
-        """Publish a version of the model and name it in its row."""
+        """Publish a model version and set its row; returns its digest."""
         digest = self.system.publish('story', SIZE, CHUNK_SIZE, version)
         self.digests['story'] = digest
         self.all_digests.add(digest)
@@ -91,7 +91,7 @@
         return digest
 
     def wait_open(self, agents: Iterable[str] = ()) -> None:
-        """Wait until the model is open on these agents, or on all."""
+        """Wait until the model is open on these agents, by default all."""
         digest = self.digests['story']
         names = list(agents) or [f'a{name}' for name in self.engines]
         harness.wait_until(
@@ -102,25 +102,25 @@
         )
 
     def send(self, entry: str, spec: CallSpec) -> Call:
-        """Send an ask once and record it."""
+        """Send a request once and record the call."""
         url = self.system.url(entry, 'http_port')
         call = calls.send(url, BEARER, spec, entry)
         self.calls.append(call)
         return call
 
     def spawn(self, entry: str, spec: CallSpec) -> gevent.Greenlet:
-        """Send an ask in a greenlet, which gives the call."""
+        """Send a request in a greenlet, which returns the call."""
         return gevent.spawn(self.send, entry, spec)
 
     def send_all(self, specs: Iterable[tuple[str, CallSpec]]) -> list[Call]:
-        """Send many at once and give the calls in the same order."""
-        return finish(self.spawn(entry, spec) for entry, spec in specs)
+        """Send requests concurrently; return the calls in the same order."""
+        return join_all(self.spawn(entry, spec) for entry, spec in specs)
 
     def send_until_run(
-        self, entry: str, spec: CallSpec, sendings: int = 30
+        self, entry: str, spec: CallSpec, max_attempts: int = 30
     ) -> Call:
-        """Send again while the answer is not-run, as callers may."""
-        for _sending in range(sendings):
+        """Send again while the outcome is not-run, as callers may."""
+        for _attempt in range(max_attempts):
             call = self.send(entry, spec)
             if call.outcome != calls.NOT_RUN:
                 break
@@ -128,17 +128,17 @@
         return call
 
     def kill(self, name: str) -> None:
-        """Kill a process as when its instance dies."""
+        """Kill a process, to simulate the crash of its instance."""
         self.killed.add(name)
         self.system[name].kill()
 
     def stop_agent(self, upstream: str) -> None:
-        """Let the agent of an upstream leave gracefully."""
+        """Stop the agent of an upstream gracefully."""
         self.graceful_stops.append(history.GracefulStop(upstream, time.time()))
         self.system[f'a{upstream}'].terminate()
 
     def history(self) -> history.History:
-        """Give what callers and upstreams have recorded."""
+        """Return the history recorded by callers and upstreams."""
         return history.History(
             tuple(self.calls),
             history.runs_of(self.system.runs()),
@@ -148,7 +148,7 @@
         )
 
     def findings(self) -> list[Finding]:
-        """Check the history."""
+        """Return the violations in the recorded history."""
         return history.check(self.history())
 
     def _start(self, options: dict[str, Any]) -> None:
@@ -162,7 +162,7 @@
             ),
             *(gevent.spawn(self.add_service, name) for name in self.services),
         ]
-        finish(starting)
+        join_all(starting)
         self._set_rows()
         self.wait_open()
         system.wait_ready(*ENTRIES)
@@ -181,8 +181,8 @@
         self.set_model(1)
 
 
-def finish(greenlets: Iterable[gevent.Greenlet]) -> list[Any]:
-    """Wait for greenlets and give their values; raises what one raised."""
+def join_all(greenlets: Iterable[gevent.Greenlet]) -> list[Any]:
+    """Wait for greenlets and return their values; re-raises exceptions."""
     started = list(greenlets)
     gevent.joinall(started, timeout=harness.WAIT_TIMEOUT_S * 2)
     return [greenlet.get(timeout=0) for greenlet in started]
--- a/packages/burdockchute-testing/burdockchute_testing/traffic.py
+++ b/packages/burdockchute-testing/burdockchute_testing/traffic.py
@@ -1,4 +1,4 @@
-"""Callers that go on asking for a model while a test breaks something."""
+"""Callers that use a model continuously while a test injects faults."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
         self._system = system
         self._entry = entry
         self._model = model
-        self._is_on = True
+        self._is_running = True
         self._tasks: list[gevent.Greenlet] = []
 
-    def allow(self) -> None:
-        """Put the callers' customer into the table."""
+    def add_customer(self) -> None:
+        """Add the callers' customer to the table."""
         self._system.set_row(
             'customer',
             'traffic',
@@ -40,23 +40,28 @@
 
     def start(self) -> None:
         """Start the callers."""
-        self._tasks = [gevent.spawn(self._call, n) for n in range(CALLERS)]
+        self._tasks = [
+            gevent.spawn(self._run_caller, n) for n in range(CALLERS)
+        ]
 
     def stop(self) -> None:
-        """Let each caller get its last answer."""
-        self._is_on = False
+        """Stop the callers after their current requests."""
+        self._is_running = False
         gevent.joinall(self._tasks, raise_error=True)
 
     def answered(self) -> int:
-        """Give how many answers have come so far."""
+        """Return the number of answered calls so far."""
         return sum(call.outcome == calls.ANSWERED for call in self.calls)
 
     def digests(self) -> set[str]:
-        """Give the digests that answers have named so far."""
+        """Return the digests named in answers so far."""
         return {pair[0] for call in self.calls for pair in call.parts}
 
     def findings(self, *digests: str) -> list[Finding]:
-        """Check all that was seen; `digests` were ever in the table."""
+        """Return the violations in the calls.
+
+        `digests` are the weights that the table named at any time.
+        """
         return history.check(
             history.History(
                 tuple(self.calls),
@@ -65,10 +70,10 @@
             )
         )
 
-    def _call(self, number: int) -> None:
+    def _run_caller(self, number: int) -> None:
         url = self._system.url(self._entry, 'http_port')
         count = 0
-        while self._is_on:
+        while self._is_running:
             count += 1
             spec = calls.completion(
                 f'traffic-{number}-{count}',
--- a/packages/burdockchute-testing/tests/test_failures.py
+++ b/packages/burdockchute-testing/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""Real processes under faults: each history must stay sound."""
+"""Real processes under faults: the recorded history must stay valid."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from burdockchute_testing import harness
 from burdockchute_testing.calls import Call
 from burdockchute_testing.site import BEARER
-from burdockchute_testing.site import finish
+from burdockchute_testing.site import join_all
 from burdockchute_testing.site import Site
 
 ENTRIES = ('e1', 'e2')
-# Callers begin within this time, and the fault comes in the midst of them.
-SPREAD_S = 1.2
+# Callers start within this time; the fault is injected in the middle of it.
+START_SPREAD_S = 1.2
 FAULT_AFTER_S = 0.5
-# More than the buffers of a connection take.
+# More than the buffers of a connection hold.
 ECHO_BYTES = 7_000_000
 
 
@@ -42,14 +42,17 @@
                 max_tokens=rng.randint(5, 60),
                 stream=rng.random() < 0.6,
             )
-            started.append(self._later(rng, rng.choice(ENTRIES), spec))
+            started.append(self._spawn_later(rng, rng.choice(ENTRIES), spec))
         return started
 
-    def _later(
+    def _spawn_later(
         self, rng: random.Random, entry: str, spec: calls.CallSpec
     ) -> gevent.Greenlet:
         return gevent.spawn_later(
-            rng.uniform(0, SPREAD_S), self.site.send_until_run, entry, spec
+            rng.uniform(0, START_SPREAD_S),
+            self.site.send_until_run,
+            entry,
+            spec,
         )
 
     def assert_sound(self) -> None:
@@ -62,37 +65,39 @@
 
 class UpstreamFailureTest(FailureCase):
     def test_engine_dies_under_traffic(self):
-        # An instance dies with requests in flight. Those that had no answer
-        # yet run elsewhere; a stream that had begun is told to be broken.
+        # An instance dies with requests in flight. Those without a part of
+        # their answer run elsewhere; a started stream is reported as broken.
         site = self.start()
         running = self.traffic('dies')
         gevent.sleep(FAULT_AFTER_S)
         site.kill('m1')
-        made = finish(running)
+        made = join_all(running)
         self.assert_sound()
-        begun = [call for call in made if call.outcome == calls.UNKNOWN]
+        interrupted = [call for call in made if call.outcome == calls.UNKNOWN]
         self.assertEqual(
-            [], [call for call in begun if not call.spec.stream], begun
+            [],
+            [call for call in interrupted if not call.spec.stream],
+            interrupted,
         )
         answered = [call for call in made if call.outcome == calls.ANSWERED]
-        self.assertEqual(len(made), len(answered) + len(begun))
+        self.assertEqual(len(made), len(answered) + len(interrupted))
 
     def test_engine_hangs_under_traffic(self):
-        # An engine stops in the middle without a word. Its requests must
-        # not wait for ever, and new ones go elsewhere.
+        # An engine hangs in the middle of its requests. They must not wait
+        # for ever, and new ones go elsewhere.
         site = self.start()
         running = self.traffic('hangs')
         gevent.sleep(FAULT_AFTER_S)
         site.system['m1'].pause()
-        finish(running)
+        join_all(running)
         self.assert_sound()
         later = site.send_until_run('e1', calls.completion('later', 'story'))
         self.assertEqual(calls.ANSWERED, later.outcome)
 
     def test_poison_request_among_good_ones(self):
-        # One prompt crashes each engine that runs it, and its caller sends
-        # it again. Unless it is refused it takes one engine after the other
-        # down, with all the requests beside it.
+        # One prompt crashes each engine that runs it, and its caller sends it
+        # again. Unless it is refused, it takes down one engine after the
+        # other, with all their other requests.
         site = self.start(engines=4)
         for name in site.engines:
             site.system.set_faults(name, crash_word='POISON')
@@ -101,7 +106,7 @@
         poison = calls.completion('poison', 'story', 'POISON')
         sent = [site.send('e1', poison) for _ in range(4)]
         self.assertNotIn(calls.ANSWERED, {call.outcome for call in sent})
-        made = finish(running)
+        made = join_all(running)
         self.assert_sound()
         dead = [m for m in site.engines if site.system[m].status is not None]
         self.assertLessEqual(len(dead), 2, dead)
@@ -111,37 +116,37 @@
 
 class AgentFailureTest(FailureCase):
     def test_agent_dies_under_traffic(self):
-        # The process beside an engine dies; the engine itself goes on.
+        # The agent of an engine dies; the engine itself keeps running.
         site = self.start()
         running = self.traffic('agent-dies')
         gevent.sleep(FAULT_AFTER_S)
         site.kill('am1')
-        finish(running)
+        join_all(running)
         self.assert_sound()
 
     def test_agent_pauses_and_comes_back(self):
-        # An agent is paused for longer than its links may be silent. What
-        # it had in flight gets its outcome from the entries; when it comes
-        # back, what it still had queued must reach no caller.
+        # An agent is paused for longer than the silence timeout of its links.
+        # The entries decide the outcome of its requests; when it resumes, the
+        # answers that it still has queued must not reach a caller.
         site = self.start()
         running = self.traffic('pauses')
         gevent.sleep(FAULT_AFTER_S)
         site.system['am1'].pause()
-        finish(running)
+        join_all(running)
         site.system['am1'].resume()
         site.wait_open()
-        later = finish(self.traffic('after-pause', count=20))
+        later = join_all(self.traffic('after-pause', count=20))
         self.assert_all_answered(later)
         self.assert_sound()
 
     def test_agent_leaves_under_traffic(self):
-        # An instance is drained while streams come from it: each of them
-        # ends whole, and no new work arrives after a few seconds.
+        # An instance is drained while it streams answers: each stream is
+        # completed, and no new work arrives after a few seconds.
         site = self.start(token_interval_s=0.03)
         running = self.traffic('leaves', count=80)
         gevent.sleep(FAULT_AFTER_S)
         site.stop_agent('m1')
-        made = finish(running)
+        made = join_all(running)
         self.assertEqual(0, site.system['am1'].wait())
         self.assert_all_answered(made)
         self.assert_sound()
@@ -149,19 +154,19 @@
 
 class EntryFailureTest(FailureCase):
     def test_entry_dies_under_traffic(self):
-        # Callers of the entry that dies see their connection cut; those of
-        # the other one notice nothing.
+        # Callers of the killed entry see their connection cut; callers of the
+        # other one are not affected.
         site = self.start()
         running = self.traffic('entry-dies')
         gevent.sleep(FAULT_AFTER_S)
         site.kill('e1')
-        made = finish(running)
+        made = join_all(running)
         self.assert_sound()
         self.assert_all_answered([c for c in made if c.entry == 'e2'])
 
     def test_entry_leaves_under_traffic(self):
-        # An entry is replaced: whoever it had taken on gets the whole
-        # answer, and whoever comes later is told that it was not run.
+        # An entry is replaced: requests that it has accepted get a complete
+        # answer, and later ones are refused as not run.
         site = self.start(token_interval_s=0.03)
         running = [
             site.spawn('e1', calls.completion(f'l{n}', 'story', stream=True))
@@ -169,7 +174,7 @@
         ]
         harness.wait_until(lambda: len(site.system.runs()) > 5, 'runs begin')
         site.system['e1'].terminate()
-        made = finish(running)
+        made = join_all(running)
         self.assertEqual(0, site.system['e1'].wait())
         self.assert_sound()
         self.assertLessEqual(
@@ -179,10 +184,10 @@
 
 class LongAnswerTest(unittest.TestCase):
     def test_a_leaving_entry_writes_its_last_answer_to_the_end(self):
-        """A caller reads a long answer slowly while its entry leaves.
+        """A caller reads a long answer slowly while its entry shuts down.
 
-        The entry waited a second for it, with most of its time to drain left,
-        and its end cut the answer off.
+        The entry waited only a second, with most of its drain time left, and
+        its exit cut the answer off.
         """
         system = harness.System()
         self.addCleanup(system.close)
@@ -201,12 +206,14 @@
         headers = calls.request_headers(spec, BEARER)
         lines = [f'{name}: {value}' for name, value in headers.items()]
         lines.append(f'Content-Length: {ECHO_BYTES}')
-        head = '\r\n'.join(['POST /v1/services/proofs/work HTTP/1.0', *lines])
+        request_head = '\r\n'.join(
+            ['POST /v1/services/proofs/work HTTP/1.0', *lines]
+        )
         caller = socket.create_connection(
             (harness.ADDRESS, system['e1'].ports['http_port'])
         )
         self.addCleanup(caller.close)
-        caller.sendall(f'{head}\r\n\r\n{spec.text}'.encode())
+        caller.sendall(f'{request_head}\r\n\r\n{spec.text}'.encode())
         harness.wait_until(
             lambda: system['e1'].log().count('event=request_finished') > 1,
             'the answer is known',
@@ -222,50 +229,50 @@
 
 class SilentConnectionTest(FailureCase):
     def test_links_go_silent_under_traffic(self):
-        # Something between entries and an instance forgets their
-        # connections: no error arrives, and new ones work. Whoever waits on
-        # the old ones must hear within seconds.
+        # A device between the entries and an instance loses its connection
+        # state: no error arrives, and new connections work. Requests on the
+        # old ones must end within seconds.
         site = self.start(relayed=['m1'])
         running = self.traffic('silent')
         gevent.sleep(FAULT_AFTER_S)
         self.assertGreaterEqual(site.relays['m1'].silence(), 2)
-        made = finish(running)
+        made = join_all(running)
         self.assert_sound()
         plain = [call for call in made if not call.spec.stream]
         self.assert_all_answered(plain)
-        later = finish(self.traffic('after-silence', count=20))
+        later = join_all(self.traffic('after-silence', count=20))
         self.assert_all_answered(later)
         self.assert_sound()
 
 
 class TwoFaultsTest(FailureCase):
     def test_engine_dies_while_an_entry_dies(self):
-        # A rack goes with an entry and an engine on it, in the same moment.
+        # A rack with an entry and an engine fails.
         site = self.start()
         running = self.traffic('rack')
         gevent.sleep(FAULT_AFTER_S)
         site.kill('m2')
         site.kill('e2')
-        made = finish(running)
+        made = join_all(running)
         self.assert_sound()
         others = [c for c in made if c.entry == 'e1' and not c.spec.stream]
         self.assert_all_answered(others)
 
     def test_agent_leaves_while_another_dies(self):
-        # One instance is drained for a restart as its neighbour dies.
+        # One instance is drained for a restart while another one dies.
         site = self.start(token_interval_s=0.02)
         running = self.traffic('both', count=80)
         gevent.sleep(0.6)
         site.stop_agent('m1')
         gevent.sleep(0.2)
         site.kill('am2')
-        finish(running)
+        join_all(running)
         self.assertEqual(0, site.system['am1'].wait())
         self.assert_sound()
 
     def test_switch_while_an_agent_pauses(self):
-        # An agent is paused before a version arrives and comes back when
-        # all others serve the new one.
+        # An agent is paused before a version is named and resumes when all
+        # others serve the new version.
         site = self.start(token_interval_s=0.02)
         running = self.traffic('old')
         gevent.sleep(0.5)
@@ -273,9 +280,9 @@
         site.set_model(2)
         site.wait_open(['am1', 'am2'])
         site.system['am3'].resume()
-        finish(running)
+        join_all(running)
         site.wait_open()
-        later = finish(self.traffic('new', count=30))
+        later = join_all(self.traffic('new', count=30))
         self.assert_all_answered(later)
         self.assert_sound()
         self.assertEqual(
@@ -283,13 +290,14 @@
         )
 
     def test_log_outage_while_an_engine_dies(self):
-        # The log is away, so no new row arrives; what runs must go on.
+        # The log is unavailable, so no new row arrives; running requests must
+        # not be affected.
         site = self.start()
         site.system.set_faults('log', outage=True)
         running = self.traffic('outage')
         gevent.sleep(FAULT_AFTER_S)
         site.kill('m1')
-        made = finish(running)
+        made = join_all(running)
         plain = [call for call in made if not call.spec.stream]
         self.assert_all_answered(plain)
         self.assert_sound()
@@ -297,13 +305,13 @@
 
 class VersionSwitchTest(FailureCase):
     def test_switch_in_mid_stream(self):
-        # A new version arrives while long answers are being streamed. Each
-        # answer must come whole from one of the two.
+        # A new version is named while long answers are streamed. Each answer
+        # must come completely from one of the two versions.
         site = self.start(token_interval_s=0.02)
         running = self.traffic('switch', count=80)
         gevent.sleep(0.5)
         site.set_model(2)
-        made = finish(running)
+        made = join_all(running)
         site.wait_open()
         self.assert_all_answered(made)
         last = site.send_until_run('e1', calls.completion('after', 'story'))
--- a/packages/burdockchute-testing/tests/test_rollout_failures.py
+++ b/packages/burdockchute-testing/tests/test_rollout_failures.py
@@ -1,8 +1,8 @@
-"""Real processes that fail while weights are on their way.
+"""Real processes that fail while weights are distributed.
 
-Callers ask all the time. Whatever fails, each answer must come from one
-whole version that the table has named, and the copy must go on as soon as
-the fault allows.
+Callers send requests continuously. Whatever fails, each answer must come
+completely from one version that the table has named, and the copy must
+resume as soon as the fault allows.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 from burdockchute_testing import harness
 from burdockchute_testing.traffic import Traffic
 
-SIZE = 512 * 1024
-CHUNK = 16 * 1024
-# A copy takes two seconds, so that a fault meets it half way.
-LINK = 256 * 1024
+WEIGHTS_BYTES = 512 * 1024
+CHUNK_BYTES = 16 * 1024
+# A copy takes two seconds, so that a fault can be injected half way.
+LINK_BYTES_PER_S = 256 * 1024
 
 
 class RolloutCase(unittest.TestCase):
@@ -28,11 +28,11 @@
     def setUp(self) -> None:
         self.system = harness.System()
         self.addCleanup(self.system.close)
-        self.system.add_platform(store={'bytes_per_s': 2 * LINK})
+        self.system.add_platform(store={'bytes_per_s': 2 * LINK_BYTES_PER_S})
         self.system.add_entry('e1')
         self.system.wait_ready('e1')
         self.traffic = Traffic(self.system, 'e1', 'story')
-        self.traffic.allow()
+        self.traffic.add_customer()
         self.digests: list[str] = []
 
     def start(self, count: int) -> None:
@@ -46,11 +46,14 @@
         if engine not in self.system.processes:
             self.system.add_engine(engine, **self.engine_options)
         self.system.add_agent(
-            agent, engine, uplink_bytes_per_s=LINK, downlink_bytes_per_s=LINK
+            agent,
+            engine,
+            uplink_bytes_per_s=LINK_BYTES_PER_S,
+            downlink_bytes_per_s=LINK_BYTES_PER_S,
         )
 
     def save(self, seed: int) -> str:
-        digest = self.system.publish('story', SIZE, CHUNK, seed)
+        digest = self.system.publish('story', WEIGHTS_BYTES, CHUNK_BYTES, seed)
         self.digests.append(digest)
         self.system.set_row(
             'model', 'story', version=f'v{seed}', digest=digest
@@ -67,7 +70,7 @@
     def is_open(self, digest: str, agent: str) -> bool:
         return self.system.open_digests(agent) == {digest}
 
-    def held(self, agent: str, digest: str) -> int:
+    def chunks_held(self, agent: str, digest: str) -> int:
         return sum(
             state['chunks_held']
             for state in self.system.status(agent)['weights']
@@ -75,16 +78,16 @@
         )
 
     def wait_half_way(self, digest: str, agent: str) -> None:
-        half = SIZE // CHUNK // 2
+        half = WEIGHTS_BYTES // CHUNK_BYTES // 2
         harness.wait_until(
-            lambda: self.held(agent, digest) >= half, 'half a copy'
+            lambda: self.chunks_held(agent, digest) >= half, 'half a copy'
         )
 
     def copies_read(self, digest: str) -> float:
         stats = client.get(f'{self.system.url("store")}/stats').json()
-        return stats['by_digest'].get(digest, 0) / SIZE
+        return stats['by_digest'].get(digest, 0) / WEIGHTS_BYTES
 
-    def end(self) -> None:
+    def finish_and_check(self) -> None:
         self.traffic.stop()
         self.assertGreater(self.traffic.answered(), 10)
         self.assertEqual([], self.traffic.findings(*self.digests))
@@ -92,10 +95,10 @@
 
 class KilledAgentsTest(RolloutCase):
     def test_half_of_the_agents_die_in_mid_copy(self):
-        # A rack loses its power while a version is being copied. The
-        # others, and an instance that replaces one of the dead, must get
-        # it all the same, and from the origin only what had not yet reached
-        # them.
+        # A rack loses its power while a version is being copied. The other
+        # agents, and an instance that replaces a dead one, must still get the
+        # version, and read only those chunks from the origin that had not yet
+        # reached them.
         self.start(4)
         digest = self.save(2)
         self.wait_half_way(digest, 'a0')
@@ -105,25 +108,25 @@
         self.add('a4', 'm4')
         self.wait_open(digest, 'a0', 'a1', 'a4')
         self.assertLess(self.copies_read(digest), 1.6)
-        self.end()
+        self.finish_and_check()
 
     def test_all_but_one_reader_of_the_origin_die(self):
-        # Those who were reading the origin are killed. The one that is
-        # left has parts of the weights that nobody else can give it.
+        # All agents but one that read the origin are killed. The remaining
+        # one misses chunks that no other agent has.
         self.start(4)
         digest = self.save(2)
         self.wait_half_way(digest, 'a0')
         for name in ('a1', 'a2', 'a3'):
             self.system[name].kill()
         self.wait_open(digest, 'a0')
-        self.end()
+        self.finish_and_check()
 
 
 class PausedAgentTest(RolloutCase):
     def test_agent_paused_across_a_switch(self):
-        # An agent stands still while the row names the next version and
-        # the one after that; when it goes on it believes that the first is
-        # in force.
+        # An agent is paused while the row names the next version and the one
+        # after it; when it resumes, it still has the first version as the
+        # current one.
         self.start(3)
         self.system['a0'].pause()
         self.addCleanup(self.system['a0'].resume)
@@ -137,16 +140,16 @@
         harness.wait_until(
             lambda: len(self.traffic.calls) > before + 10, 'more calls'
         )
-        self.end()
+        self.finish_and_check()
 
 
 class SecondAgentTest(RolloutCase):
     """Two agents for one instance, one of them paused before an order."""
 
-    def play(self) -> None:
-        # An agent hangs while it copies; the platform starts another for
-        # the same engine. The first goes on later, with an order in mind
-        # that is no longer due.
+    def replace_paused_agent(self) -> None:
+        # An agent hangs while it copies, and the platform starts another one
+        # for the same engine. The first resumes later, with an order pending
+        # that is outdated.
         self.start(2)
         second = self.save(2)
         self.wait_half_way(second, 'a0')
@@ -168,12 +171,12 @@
             lambda: len(self.traffic.calls) > before + 10, 'more calls'
         )
         self.assertEqual(set(), self.system.open_digests('a0'))
-        self.end()
+        self.finish_and_check()
 
 
 class CheckingEngineTest(SecondAgentTest):
     def test_engine_that_checks_numbers(self):
-        self.play()
+        self.replace_paused_agent()
         self.assertEqual({self.digests[-1]}, self.system.engine_digests('m0'))
 
 
@@ -181,4 +184,4 @@
     engine_options = {'ignores_fencing': True}
 
     def test_engine_that_ignores_numbers(self):
-        self.play()
+        self.replace_paused_agent()
