--- a/packages/burdockchute-testing/tests/test_agent_process.py
+++ b/packages/burdockchute-testing/tests/test_agent_process.py
@@ -1,4 +1,4 @@
-"""A real agent process beside a real stand-in, with a fake entry."""
+"""A real agent process with a stand-in upstream and a fake entry."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 PROMPT = 'a hare met a fox'
 
-# Many times the way between two regions.
-CROSSING_S = 0.2
+# Many times the network delay between two regions.
+IN_TRANSIT_S = 0.2
 
 
 class AgentCase(unittest.TestCase):
@@ -62,8 +62,8 @@
 
 class AgentProcessTest(AgentCase):
     def test_stream_comes_whole(self):
-        # Engines report rates with a fraction, which a whole-numbered field
-        # of a report once could not take: the reports ended for good.
+        # Engines report fractional rates. An integer field of the load report
+        # once rejected them, and the reports stopped for good.
         self.start_engine(prefill_tokens_per_s=1234.5)
         digest = self.open_model()
         self.send('r1', digest)
@@ -72,8 +72,8 @@
         self.assertEqual(('', digest, 6), (end.error, end.digest, end.parts))
 
     def test_graceful_end_finishes_a_stream(self):
-        # An instance is replaced while an answer streams from it. A caller
-        # would see the answer break off.
+        # An instance is replaced while it streams an answer, which must not
+        # be cut off.
         self.start_engine(token_interval_s=0.02)
         digest = self.open_model()
         self.send('r1', digest, tokens=50)
@@ -85,14 +85,14 @@
         self.assertEqual(0, self.system['a1'].wait())
 
     def test_dispatch_that_crosses_the_news_of_leaving_is_refused(self):
-        # An entry hands a request on in the moment in which the agent begins
-        # to leave. If the agent just closed its links, nobody could tell
-        # whether it ran, and a print proof would end as unknown.
+        # An entry dispatches a request just as the agent starts to shut down.
+        # If the agent closed its links at once, it would not be known whether
+        # the request ran, and a print proof would get the outcome unknown.
         self.start_engine()
         digest = self.open_model()
         self.system['a1'].terminate()
         self.entry.wait_shutdown_report()
-        gevent.sleep(CROSSING_S)
+        gevent.sleep(IN_TRANSIT_S)
         self.send('r1', digest)
         (refusal,) = self.entry.messages_of('r1')
         self.assertEqual(
@@ -101,8 +101,8 @@
         self.assertEqual(0, self.system['a1'].wait())
 
     def test_cancel_right_after_dispatch_leaves_nothing_behind(self):
-        # A caller gives up in the moment that its request is handed on. An
-        # agent that went on counting it would wait for it when it leaves.
+        # A caller cancels just as its request is dispatched. An agent that
+        # still counted the request would wait for it on shutdown.
         self.start_engine()
         digest = self.open_model()
         self.send('r1', digest)
@@ -112,8 +112,8 @@
         self.assertEqual(0, self.system.status('a1')['running'])
 
     def test_cancelled_request_leaves_the_engine(self):
-        # A caller closes its page in the middle of a long answer. The
-        # engine would go on with it while others wait for the slot.
+        # A caller closes its page in the middle of a long answer. Otherwise
+        # the engine would go on while other requests wait for the slot.
         self.start_engine(slots=1, token_interval_s=0.02)
         digest = self.open_model()
         self.send('r1', digest, tokens=1000)
@@ -128,8 +128,8 @@
         )
 
     def test_engine_crash_is_told_as_such(self):
-        # A prompt makes the engine crash. Unless the agent says so, the
-        # request is sent to the next engine, and so on through all.
+        # A prompt crashes the engine. Unless the agent reports the crash, the
+        # request is sent to the next engine, and so on to all of them.
         self.start_engine()
         digest = self.open_model()
         self.system.set_faults('m1', crash_word='hare')
@@ -139,8 +139,8 @@
         self.assertNotEqual('', end.error)
 
     def test_answer_of_other_weights_is_not_passed_on(self):
-        # The engine answers from other weights than it reported, as after
-        # an order of an agent that was thought dead.
+        # The engine answers from other weights than it reported, as after a
+        # late order of an agent that was believed dead.
         self.start_engine()
         digest = self.open_model()
         self.system.set_faults('m1', wrong_digest=1.0)
@@ -150,8 +150,8 @@
         self.assertIn('answer is from weights', end.error)
 
     def test_stream_that_stands_still_ends(self):
-        # The engine takes a request and falls silent in the middle. The
-        # caller would wait until its deadline, and so would the slot.
+        # The engine stalls in the middle of a request. Otherwise the caller
+        # would wait, and the slot be in use, until the deadline.
         self.system.add_engine('m1')
         self.system.add_agent('a1', 'm1', stall_s=1)
         self.entry = self.dial('e1')
--- a/packages/burdockchute-testing/tests/test_harness.py
+++ b/packages/burdockchute-testing/tests/test_harness.py
@@ -1,4 +1,4 @@
-"""The harness ends what it started."""
+"""The harness ends its processes and keeps their records."""
 
 from __future__ import annotations
 
--- a/packages/burdockchute-testing/tests/test_platform_standins.py
+++ b/packages/burdockchute-testing/tests/test_platform_standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins of the platform, over real sockets."""
+"""The stand-ins for the platform, over real sockets."""
 
 from __future__ import annotations
 
--- a/packages/burdockchute-testing/tests/test_system.py
+++ b/packages/burdockchute-testing/tests/test_system.py
@@ -1,4 +1,4 @@
-"""A whole site at work: real processes, no faults."""
+"""A complete site of real processes, without faults."""
 
 from __future__ import annotations
 
@@ -72,8 +72,8 @@
                 )
 
     def test_caller_that_goes_away_frees_its_slot(self):
-        # A teacher closes the page while a long story comes in. The engine
-        # would go on writing it for nobody.
+        # A caller closes its page during a long answer. Otherwise the engine
+        # would generate the remainder for no caller.
         spec = calls.completion('gone', 'story', max_tokens=900, stream=True)
         url = self.site.system.url('e1', 'http_port') + '/v1/completions'
         stream = client.Stream(
@@ -84,12 +84,12 @@
         next(stream.events())
         stream.close()
         harness.wait_until(
-            lambda: self.how_of('gone') == ['cancelled'], 'it is cancelled'
+            lambda: self.run_states('gone') == ['cancelled'], 'it is cancelled'
         )
 
     def test_flooding_customer_is_told_when_to_come_back(self):
-        # One customer's script sends as fast as it can. What is over its
-        # limit is refused at once, not held back.
+        # One customer's script sends as fast as it can. Requests over its
+        # rate limit are refused at once instead of delayed.
         system = self.site.system
         key = blake3.blake3(b'key-of-sahyog').hexdigest()
         system.set_row('customer', 'sahyog', key_digests=key, requests_per_s=2)
@@ -107,12 +107,12 @@
         ]
         refused = [call for call in made if call.status == 429]
         self.assertGreater(len(refused), 0)
-        told = {(c.outcome, c.retry_after != '') for c in refused}
-        self.assertEqual({('not-run', True)}, told)
+        results = {(c.outcome, c.retry_after != '') for c in refused}
+        self.assertEqual({('not-run', True)}, results)
         ran = {run['prompt'] for run in system.runs() if 'prompt' in run}
         self.assertEqual([], [c for c in refused if c.spec.text in ran])
 
-    def how_of(self, text: str) -> list[str]:
+    def run_states(self, text: str) -> list[str]:
         return [
             run['how']
             for run in self.site.system.runs()
--- a/packages/burdockchute-testing/tests/test_table_processes.py
+++ b/packages/burdockchute-testing/tests/test_table_processes.py
@@ -1,4 +1,4 @@
-"""The table in a system of real processes, with the platform failing."""
+"""The table in a system of real processes, with faults of the platform."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         return forwarder
 
     def edit(self) -> int:
-        """Edit a row and give the offset at which it was accepted."""
+        """Edit a row and return the offset at which it was accepted."""
         self.slots += 1
         done = self.system.set_row('service', 'proofs', slots=self.slots)
         return int(done.out.split('accepted at offset ')[1].split(':')[0])
@@ -51,9 +51,10 @@
         return self.system.status(name)['table']
 
     def test_outage_of_the_log_while_editing_and_starting(self):
-        # The platform's log goes away. Operators are told that nothing was
-        # saved, the rows in force stay, and an entry that is replaced in
-        # the outage gets them from the others before it takes a caller.
+        # The platform's log fails. Operators get the error that nothing was
+        # saved, the current rows stay in force, and an entry that starts
+        # during the outage gets them from the others before it accepts
+        # requests.
         self.system.add_platform()
         self.system.add_entry('e1')
         self.system.add_entry('e2')
@@ -71,16 +72,16 @@
         self.assertNotEqual('up', status['log'])
         wait_until(
             lambda: self.table_status('e1')['age_s'] > 3,
-            'the entry calls its rows old',
+            'the entry reports its rows as old',
         )
         self.system.set_faults('log')
         self.wait_offset(self.edit(), 'e1', 'e2', 'e3')
 
     def test_entry_is_paused_while_retention_passes_what_it_would_read(self):
-        # An entry stands still for long. Meanwhile rows are edited, and the
-        # log forgets the edits after a snapshot was written. When it goes
-        # on it must come to the newest rows, and the agent that hears from
-        # it must never go back to the older ones.
+        # An entry is paused for a long time. Meanwhile rows are edited, a
+        # snapshot is written and the log expires the edits. When the entry
+        # resumes, it must get the newest rows, and the agent that receives
+        # its rows must never go back to older ones.
         self.system.add_platform()
         self.system.add_entry('e1')
         self.system.add_entry('e2')
@@ -106,16 +107,16 @@
         self.wait_offset(offset, 'e1')
         self.wait_offset(self.edit(), 'e1', 'e2', 'a1')
         self.assertEqual(1, self.table_status('e1')['rows'])
-        # The offset moves past a snapshot without any row. Were the agent
-        # not told, it would ask for the whole table after each.
+        # A snapshot advances the offset without changing a row. An agent that
+        # isn't notified would request the complete table after each snapshot.
         self.assertNotIn('delta_refused', self.system['a1'].log())
 
     def test_region_is_cut_off_and_joined_again(self):
         # Region A first loses only the log, then the other region as well.
-        # Its agent is attached to no entry but the one of its region. While
-        # the regions still meet, the rows come through the other entry;
-        # after that the old rows stay, are called old, and never come back
-        # once the regions have met again.
+        # Its agent is connected only to the entry of its region. While the
+        # regions are connected, rows come through the other entry; after that
+        # the old rows stay in force and are reported as old, and never return
+        # once the regions are connected again.
         self.system.add_platform()
         self.system.add_stand_in('instances-b', 'instance_list')
         log = self.forward('log')
@@ -123,7 +124,7 @@
         instances_b = self.system.url('instances-b')
         self.system.add_entry('e2', instances_url=instances_b)
         other = self.forward('e2', 'link_port')
-        self.list_at('e2', other.port)
+        self.list_entry_at('e2', other.port)
         self.add_agent('a1')
         offset = self.edit()
         self.wait_offset(offset, 'e1', 'e2', 'a1')
@@ -138,9 +139,9 @@
         self.wait_offset(newer, 'e2')
         wait_until(
             lambda: self.system.status('a1')['table_age_s'] > 5,
-            'the agent calls its rows old',
+            'the agent reports its rows as old',
         )
-        # A snapshot may have moved the offset, but not to the newer edit.
+        # A snapshot may have advanced the offset, but not to the newer edit.
         self.assertLess(self.offset('a1'), newer)
         self.assertGreater(self.table_status('e1')['age_s'], 5)
 
@@ -149,7 +150,7 @@
         log.heal()
         self.wait_offset(self.edit(), 'e1', 'e2', 'a1')
 
-    def list_at(self, name: str, port: int) -> None:
+    def list_entry_at(self, name: str, port: int) -> None:
         """List an entry of the other region at another port."""
         instance = {
             'name': name,
@@ -164,10 +165,9 @@
         client.post(f'{self.system.url("instances")}/instances', instance)
 
     def test_two_operators_at_once_on_a_log_that_loses_replies(self):
-        # Operators save the same row at the same moment while every other
-        # reply of the log is lost. Exactly one of them is told that it is
-        # saved, the others see the row that is there, and all processes
-        # hold that one.
+        # Operators save the same row at the same time while half of the log's
+        # replies are lost. Exactly one of them gets a confirmation, the others
+        # see the existing row, and all processes hold that row.
         self.system.add_platform()
         self.system.add_entry('e1')
         self.system.add_entry('e2')
@@ -187,7 +187,7 @@
     def import_at_once(
         self, exported: str, choices: tuple[str, ...]
     ) -> dict[str, int]:
-        """Let several operators import at once; give their statuses."""
+        """Import concurrently as several operators; return their statuses."""
         jobs = {}
         for slots in choices:
             path = self.system.folder / f'{slots}.csv'
--- a/packages/burdockchute-testing/tests/test_upstream_standins.py
+++ b/packages/burdockchute-testing/tests/test_upstream_standins.py
@@ -33,8 +33,8 @@
         options.setdefault(
             'profile', batch.EngineProfile(token_interval_s=0.001)
         )
-        made = engine.Engine(**options)  # type: ignore[arg-type]
-        self.url = local.start(self, made.handle)
+        stand_in = engine.Engine(**options)  # type: ignore[arg-type]
+        self.url = local.start(self, stand_in.handle)
 
     def order(self, digest: str, **fields: object) -> client.Response:
         document = {
@@ -53,7 +53,7 @@
     def state(self) -> dict:
         return client.get(f'{self.url}/state').json()
 
-    def settled(self) -> dict:
+    def wait_loaded(self) -> dict:
         with gevent.Timeout(WAIT_S):
             while self.state()['loading']:
                 gevent.sleep(0.01)
@@ -63,7 +63,7 @@
         digest = self.source.publish(name, seed=seed)
         answer = self.order(digest, name=name, **fields)
         self.assertEqual(202, answer.status, answer.body)
-        self.settled()
+        self.wait_loaded()
         return digest
 
     def complete(self, **fields: object) -> client.Response:
@@ -71,9 +71,9 @@
 
     def stream(self, **fields: object) -> client.Stream:
         document = _request({'stream': True, **fields})
-        made = client.Stream(f'{self.url}/v1/completions', document)
-        self.addCleanup(made.close)
-        return made
+        stream = client.Stream(f'{self.url}/v1/completions', document)
+        self.addCleanup(stream.close)
+        return stream
 
     def set_faults(self, **faults: object) -> None:
         answer = client.post(f'{self.url}/faults', faults)
@@ -125,9 +125,9 @@
     def test_stream_resumes_where_it_was_left(self):
         self.start(profile=batch.EngineProfile(token_interval_s=0.01))
         digest = self.load('story', 1)
-        left = self.stream(max_tokens=20)
-        first = json.loads(next(left.events()).data)
-        left.close()
+        interrupted = self.stream(max_tokens=20)
+        first = json.loads(next(interrupted.events()).data)
+        interrupted.close()
         resumed = client.get(f'{self.url}/v1/streams/r1?from=1')
         parts = [
             json.loads(line[len('data: ') :])
@@ -140,8 +140,8 @@
     def test_cancel_frees_the_slot(self):
         self.start(profile=batch.EngineProfile(slots=1, token_interval_s=0.01))
         self.load('story', 1)
-        left = self.stream(max_tokens=100_000)
-        next(left.events())
+        interrupted = self.stream(max_tokens=100_000)
+        next(interrupted.events())
         client.post(f'{self.url}/v1/cancel/r1', {})
         self.assertEqual(200, self.complete(request_id='r2').status)
         ends = [(run['request_id'], run['how']) for run in self.history()]
@@ -160,11 +160,11 @@
         )
         self.load('story', 1)
         next(self.stream(max_tokens=50).events())
-        asked = [
+        pending = [
             gevent.spawn(self.complete, request_id=f'p{n}', priority=n)
             for n in range(3)
         ]
-        gevent.joinall(asked, timeout=WAIT_S)
+        gevent.joinall(pending, timeout=WAIT_S)
         ends = [(run['end'], run['request_id']) for run in self.history()]
         order = [request_id for _end, request_id in sorted(ends)]
         self.assertEqual(['r1', 'p2', 'p1', 'p0'], order)
@@ -175,7 +175,7 @@
         long = ' '.join(f'w{n}' for n in range(200))
         cached = [self.complete(prompt=long).json()['cached_tokens']]
         cached.append(self.complete(prompt=long).json()['cached_tokens'])
-        # Three whole blocks don't fit a cache of two, and the first leaves.
+        # Three full blocks exceed a cache of two, so the first is evicted.
         self.assertEqual([0, 0], cached)
         short = ' '.join(f'w{n}' for n in range(130))
         self.complete(prompt=short)
@@ -198,7 +198,7 @@
         digest = self.source.publish('story')
         self.source.replacement = b'x' * 10_000
         self.assertEqual(202, self.order(digest).status)
-        state = self.settled()
+        state = self.wait_loaded()
         self.assertEqual([], state['loaded'])
         self.assertIn('chunk 0 is corrupt', state['failures'][0])
 
@@ -208,7 +208,7 @@
         other = self.source.publish('story', seed=2)
         source = f'{self.source_url}/weights/{other}'
         self.assertEqual(202, self.order(digest, source=source).status)
-        self.assertEqual([], self.settled()['loaded'])
+        self.assertEqual([], self.wait_loaded()['loaded'])
 
     def test_old_fence_is_refused_where_it_counts(self):
         digest = self.source.publish('story')
