--- a/packages/burdockchute/burdockchute/decisions/claims.py
+++ b/packages/burdockchute/burdockchute/decisions/claims.py
@@ -141,7 +141,7 @@
 
 def _release(old: _KeyState, act: Act) -> _KeyState:
     # The release may precede the claim that it cancels, where the claim's
-    # append was taken for lost and completes late. It is remembered, as that
+    # append seemed to be lost and completes late. It is remembered, as that
     # claim would otherwise hold the key with no attempt left to run.
     released = old.released | {act.attempt_id}
     if old.attempt_id != act.attempt_id or old.outcome:
--- a/packages/burdockchute/burdockchute/decisions/flow_control.py
+++ b/packages/burdockchute/burdockchute/decisions/flow_control.py
@@ -2,7 +2,7 @@
 
 The bandwidth of a link may drop while several peers send chunks over it.
 What they have sent until then queues before the bottleneck, and requests,
-cancellations and news of a version's end queue behind that. A sender
+cancellations and the message that ends a version queue behind that. A sender
 therefore has few unacknowledged fragments, and pauses while they take long
 to arrive.
 
--- a/packages/burdockchute/burdockchute/decisions/membership.py
+++ b/packages/burdockchute/burdockchute/decisions/membership.py
@@ -37,8 +37,8 @@
 # The list can only be read completely, at about this many bytes for each
 # instance, and reading it must stay below half of a node's bandwidth for
 # control messages. That gives a read each half second at today's size and
-# one in three minutes with 12,000 instances; news that an instance leaves
-# does not wait for it, as agents report that themselves.
+# one in three minutes with 12,000 instances. The leaving of an instance is
+# known without it, as agents report that themselves.
 LIST_ITEM_BYTES = 160
 LIST_BYTES_PER_S = 10_000
 MIN_POLL_INTERVAL_S = 0.5
--- a/packages/burdockchute/burdockchute/decisions/overload.py
+++ b/packages/burdockchute/burdockchute/decisions/overload.py
@@ -41,9 +41,9 @@
 ) -> float:
     """Return the delay after which a refused caller may retry, in seconds.
 
-    An overload that has lasted for `duration_s` is likely to last as long
-    again. `left_s` is the latest time at which a retry still leaves time for
-    its answer; where it is below `min_delay_s`, that minimum is returned.
+    An overload that has lasted for `duration_s` is likely to last for the same
+    time again. `left_s` is the latest time at which a retry still leaves time
+    for its answer; where it is below `min_delay_s`, that minimum is returned.
 
     >>> retry_delay_s(0.5, 0.0, 4.0), retry_delay_s(0.5, 2.0, 4.0)
     (0.5, 2.5)
--- a/packages/burdockchute/burdockchute/decisions/placement.py
+++ b/packages/burdockchute/burdockchute/decisions/placement.py
@@ -319,7 +319,7 @@
 ) -> tuple[InstanceLoad, ...]:
     """Return the instances that may take long work now.
 
-    Long work holds a slot for as long as many short requests would, so at most
+    Long work holds a slot for the time of many short requests, so at most
     `long_share` of the slots of an instance go to it, but always one.
     """
     return tuple(load for load in loads if load.accepts_long(long_share))
--- a/packages/burdockchute/burdockchute/decisions/slow_links.py
+++ b/packages/burdockchute/burdockchute/decisions/slow_links.py
@@ -3,7 +3,7 @@
 The bandwidth of a link may drop while a copy comes in over it. Requests then
 queue behind the chunks for seconds, their callers leave meanwhile, and the
 engine computes answers that no caller waits for. Its own messages are not
-delayed: streams go on, and its load reports show it as idle.
+delayed: streams continue, and its load reports show it as idle.
 
 A request that has not started after some time makes the link suspect, and a
 probe of the link decides; if the engine is merely busy, the probe returns at
--- a/packages/burdockchute/burdockchute/decisions/sources.py
+++ b/packages/burdockchute/burdockchute/decisions/sources.py
@@ -153,8 +153,8 @@
 def takeover_delay_s(rank: int, read_s: float) -> float:
     """Return the seconds after which this agent reads an unread chunk.
 
-    `read_s` is the duration of this agent's own reads. The others' reads take
-    as long, so if a chunk does not appear, its reader is gone.
+    `read_s` is the duration of this agent's own reads. Reads of other agents
+    take the same time, so if a chunk does not appear, its reader is gone.
 
     >>> takeover_delay_s(0, 0.5), takeover_delay_s(2, 0.1)
     (0.0, 2.0)
--- a/packages/burdockchute/burdockchute/decisions/wait_limits.py
+++ b/packages/burdockchute/burdockchute/decisions/wait_limits.py
@@ -3,8 +3,8 @@
 For a second or for many, requests may exceed what the engines can take.
 With one queue for all, it grows until every request waits for most of its
 deadline: all answers are late, though the engines work all the time. If the
-queue refuses every request that would have to wait, a burst of a second turns
-away callers that could all have been served a moment later.
+queue refuses every request that would have to wait, a burst of a second leads
+to refusals of requests that could all have been served a moment later.
 
 So a request waits in two stages. While its answer can still start within the
 objective, it waits with the requests that are on time. After that it is
@@ -20,10 +20,10 @@
 Sometimes no engine at all may start anything: all were restarted and copy
 their weights, or a version expired before the next one has arrived. The agents
 know when such a shortage ends, some seconds later, and most callers have the
-time to wait for it. If they were refused for a second at a time, each would
-retry once, be refused again and be lost. So as many wait as the engines can
-take when they open, each for as long as leaves the time for its answer, and
-the others are refused with a retry delay (`opening_wait_s`).
+time to wait for it. If they were refused with a retry delay of a second, each
+would retry once, be refused again and be lost. So as many requests wait as the
+engines can take when they open, each only while enough time is left for its
+answer, and the others are refused with a retry delay (`opening_wait_s`).
 
 The remainder of a started stream comes before all of these and waits for as
 long as its caller does, unless no engine holds its weights any more.
--- a/packages/burdockchute/tests/decisions/test_claims.py
+++ b/packages/burdockchute/tests/decisions/test_claims.py
@@ -65,7 +65,7 @@
         self.assertEqual(Held(), self.claim('a'))
 
     def test_claim_appended_after_its_release_has_no_effect(self):
-        # The append of a claim is taken for lost, the caller is answered
+        # The append of a claim seems to be lost, the caller is answered
         # "not run" and the claim is released; then the append completes. The
         # claim must not hold the key, as no attempt is left to run.
         self.table.apply(act(claims.RELEASE, 'a'), 1000.0)
@@ -130,7 +130,7 @@
         super().__init__()
         self.log: list[list[Act]] = []
         self.attempts: dict[str, Attempt] = {}
-        self.readers = [ClaimTable(), ClaimTable()]
+        self.tables = [ClaimTable(), ClaimTable()]
         self.offsets = [0, 0]
         self.now = 1000.0
         self.verdicts: list[tuple[str, object]] = []
@@ -171,7 +171,7 @@
     )
     def collector_reads(self, which, count, replies_arrive, certainly_not_run):
         start = self.offsets[which]
-        table = self.readers[which]
+        table = self.tables[which]
         for act in itertools.chain(*self.log[start : start + count]):
             table.apply(act, self.now)
             if act.act != claims.CLAIM:
@@ -185,12 +185,12 @@
 
     @stateful.rule(which=st.integers(0, 1))
     def collector_restarts(self, which):
-        self.readers[which] = ClaimTable()
+        self.tables[which] = ClaimTable()
         self.offsets[which] = 0
 
     @stateful.rule(which=st.integers(0, 1))
     def collector_forgets(self, which):
-        self.readers[which].forget(self.now)
+        self.tables[which].forget(self.now)
 
     @stateful.precondition(lambda self: self.verdicts)
     @stateful.rule(data=st.data())
--- a/packages/burdockchute/tests/decisions/test_engine_placement.py
+++ b/packages/burdockchute/tests/decisions/test_engine_placement.py
@@ -65,7 +65,7 @@
         self.assertEqual(0, engine_placement.random_share(-2, 4, 0.99))
 
     def test_the_remainder_of_a_stream_is_not_bound_by_the_share(self):
-        """Its caller already has a part of the answer."""
+        """Its caller has a part of the answer; new requests draw a share."""
         views = [view('a', share=0)]
         size = RequestSize(PROMPT, 95)
         self.assertIsNone(
--- a/packages/burdockchute/tests/decisions/test_listing.py
+++ b/packages/burdockchute/tests/decisions/test_listing.py
@@ -125,7 +125,7 @@
         """An engine restarts under its id and holds no weights any more.
 
         A late record from before the restart would list the weights that it
-        had, and requests would be sent there in vain.
+        had, and requests would be sent there without success.
         """
         restarted = upstream(started_ms=2000, version=0)
         now = listing.on_listed(self.listed, UpstreamListed(at(6), restarted))
