--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,9 +1,9 @@
-"""Run every test of the workspace and close with one line of counts.
+"""Run all tests of the workspace and end with a summary line.
 
-Test classes are shared out over a few worker processes, always in the same
-way; examples are drawn from fixed seeds. Tests named in KNOWN-RED.txt are
+Test classes are distributed over a few worker processes, always in the same
+way; Hypothesis draws examples from fixed seeds. Tests named in KNOWN-RED.txt
 run too; their failures are printed but do not fail the run, so that a known
-fault stays in sight without hiding a new one.
+fault stays visible without hiding a new one.
 
     tools/run_tests.py                 all tests
     tools/run_tests.py test_links      tests whose id contains a name
@@ -29,15 +29,15 @@
 import hypothesis  # noqa: E402
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-KNOWN_RED_LIMIT = 3
+MAX_KNOWN_RED = 3
 
-# Enough to bring the run under two minutes; few enough that processes under
+# Enough to keep the run under two minutes; few enough that processes under
 # test are not starved of processor time on a machine with four cores.
 WORKERS = 3
 
 
 class Report(NamedTuple):
-    """What one worker found."""
+    """Results of one worker; times in seconds."""
 
     ran: int
     failing: list[str]
@@ -45,13 +45,13 @@
 
 
 def main() -> int:
-    """Run the chosen tests in workers; 0 if nothing new failed."""
+    """Run the chosen tests in workers; return 1 on new failures."""
     args = _parse()
     if args.worker is not None:
-        _work(args.worker, args.report, args.names)
+        _run_worker(args.worker, args.report, args.names)
         return 0
     reports = _run_workers(args.names)
-    return _conclude(reports, _known_red())
+    return _summarize(reports, _known_red())
 
 
 def _parse() -> argparse.Namespace:
@@ -93,15 +93,15 @@
     return Report(found['ran'], found['failing'], found['slowest'])
 
 
-def _conclude(reports: list[Report | None], known: set[str]) -> int:
-    whole = [report for report in reports if report is not None]
-    died = len(reports) - len(whole)
+def _summarize(reports: list[Report | None], known: set[str]) -> int:
+    complete = [report for report in reports if report is not None]
+    died = len(reports) - len(complete)
     if died:
         print(f'{died} of {len(reports)} workers ended without a report')
-    slowest = sorted((s for r in whole for s in r.slowest), reverse=True)
+    slowest = sorted((s for r in complete for s in r.slowest), reverse=True)
     for seconds, test_id in slowest[:5]:
         print(f'{seconds:6.1f} s  {test_id}')
-    failing = {test_id for report in whole for test_id in report.failing}
+    failing = {test_id for report in complete for test_id in report.failing}
     for test_id in sorted(failing & known):
         print(f'known red: {test_id}')
     for test_id in sorted(known - failing):
@@ -109,12 +109,12 @@
     new = failing - known
     for test_id in sorted(new):
         print(f'failed: {test_id}')
-    ran = sum(report.ran for report in whole)
+    ran = sum(report.ran for report in complete)
     print(f'{ran - len(failing)} passed, {len(new) + died} failed')
     return 1 if new or died or not ran else 0
 
 
-def _work(worker: int, report: str, names: list[str]) -> None:
+def _run_worker(worker: int, report: str, names: list[str]) -> None:
     logging.disable(logging.CRITICAL)
     hypothesis.settings.register_profile(
         'fixed', derandomize=True, deadline=None
@@ -133,17 +133,17 @@
     result = unittest.TextTestRunner(
         stream=sys.stdout, resultclass=_TimedResult
     ).run(suite)
-    broken = [*result.failures, *result.errors]
+    unsuccessful = [*result.failures, *result.errors]
     found = Report(
         result.testsRun,
-        sorted({_id_of(test) for test, _text in broken}),
+        sorted({_id_of(test) for test, _text in unsuccessful}),
         sorted(result.times, reverse=True)[:5],
     )
     pathlib.Path(report).write_text(json.dumps(found._asdict()))
 
 
 def _id_of(test: unittest.TestCase) -> str:
-    # A failure of one part of a test is listed under an object of its own.
+    # A failed subtest is listed as an object that refers to its test.
     return getattr(test, 'test_case', test).id()
 
 
@@ -174,7 +174,7 @@
 
 
 def _forget_tests_package() -> None:
-    # Each package has a folder named tests; unittest would take the first
+    # Each package has a folder named tests; unittest would use the first
     # one imported for all of them.
     for name in list(sys.modules):
         if name == 'tests' or name.startswith('tests.'):
@@ -197,10 +197,10 @@
         return set()
     lines = path.read_text().splitlines()
     known = {line.split()[0] for line in lines if line.strip()}
-    if len(known) > KNOWN_RED_LIMIT:
+    if len(known) > MAX_KNOWN_RED:
         raise SystemExit(
             f'KNOWN-RED.txt names {len(known)} tests; at most '
-            f'{KNOWN_RED_LIMIT} are allowed'
+            f'{MAX_KNOWN_RED} are allowed'
         )
     return known
 
