--- a/packages/burdockchute-testing/burdockchute_testing/benches/generator.py
+++ b/packages/burdockchute-testing/burdockchute_testing/benches/generator.py
@@ -1,8 +1,10 @@
-"""Sends short requests to one URL and prints what came back as JSON.
+"""Send short requests to one URL and print latencies and errors as JSON.
 
-A process of its own, so that its work does not slow what it measures. With a
-rate it sends at that pace whatever comes back, and counts the time from when
-a request was due: a server that falls behind can't hide it.
+Runs as a separate process, so that its work does not slow the servers that
+it measures. Without a rate the load is closed loop. With a rate it is open
+loop: requests go out at that rate whatever the replies, and latency counts
+from the time at which a request was due, so that a server that falls behind
+can't hide its delay.
 """
 
 from __future__ import annotations
@@ -26,11 +28,11 @@
 
 
 def main() -> None:
-    """Run one load and print its result."""
+    """Generate the load and print its result."""
     args = _parse()
     latencies: list[float] = []
     errors: dict[str, int] = {}
-    send = _sender(args, latencies, errors)
+    send = _make_sender(args, latencies, errors)
     start = time.monotonic()
     if args.rate:
         _open_loop(args, send, start)
@@ -58,7 +60,7 @@
     return parser.parse_args()
 
 
-def _sender(
+def _make_sender(
     args: argparse.Namespace,
     latencies: list[float],
     errors: dict[str, int],
@@ -109,19 +111,19 @@
 def _open_loop(
     args: argparse.Namespace, send: Callable[[float], None], start: float
 ) -> None:
-    due: queue.Queue = queue.Queue()
+    due_times: queue.Queue = queue.Queue()
 
     def work() -> None:
-        while (at := due.get()) is not None:
-            send(at)
+        while (due_at := due_times.get()) is not None:
+            send(due_at)
 
     workers = [gevent.spawn(work) for _ in range(args.concurrency)]
     for number in range(int(args.rate * args.seconds)):
-        at = start + number / args.rate
-        gevent.sleep(max(0.0, at - time.monotonic()))
-        due.put(at)
+        due_at = start + number / args.rate
+        gevent.sleep(max(0.0, due_at - time.monotonic()))
+        due_times.put(due_at)
     for _ in workers:
-        due.put(None)
+        due_times.put(None)
     gevent.joinall(workers)
 
 
--- a/packages/burdockchute-testing/burdockchute_testing/benches/load_traffic.py
+++ b/packages/burdockchute-testing/burdockchute_testing/benches/load_traffic.py
@@ -1,7 +1,8 @@
-"""Callers of the load bench: open loop, seeded, each answer timed.
+"""Callers of the load benchmark: open loop, seeded, each answer timed.
 
-A call is good if its whole answer came within its deadline. Arrivals do not
-wait for answers, as callers in the evening do not either.
+A call is good if its complete answer arrived within its deadline. Arrivals
+do not wait for earlier answers, as callers at peak time in the evening do
+not either.
 """
 
 from __future__ import annotations
@@ -20,17 +21,18 @@
 DEADLINE_S = 2.0
 
 
-class Shape(NamedTuple):
-    """A stream of like requests; `per_s` arrive each second on average.
+class Workload(NamedTuple):
+    """Similar requests; `requests_per_s` arrive per second on average.
 
-    Their lengths lie evenly within `spread` tokens around `max_tokens`: were
-    all alike, the slots of an engine would all end together. Prompts differ
-    between runs, since what an outage takes twice is suspect afterwards.
+    Their lengths are distributed uniformly within `spread` tokens around
+    `max_tokens`: with equal lengths all slots of an engine would become free
+    at the same time. Prompts differ between runs, since a request that is
+    interrupted twice by an outage is treated as a suspect afterwards.
     """
 
     name: str
     customer: str
-    per_s: float
+    requests_per_s: float
     max_tokens: int = 24
     spread: int = 0
     prompt: Callable[[random.Random], str] = lambda rng: (
@@ -41,52 +43,58 @@
 
 
 class Sample(NamedTuple):
-    """What one caller got; times are seconds, None where nothing came."""
+    """Result of one call; times in seconds, None without a first token."""
 
-    shape: str
+    workload: str
     due: float
     good: bool
     outcome: str
-    first_s: float | None
+    first_token_s: float | None
     total_s: float
     intervals: tuple[float, ...]
     cached_tokens: int
 
 
 class Target(NamedTuple):
-    """Sends one request: gives URL, headers and extra members of the body.
+    """Destination of requests.
 
-    `done` is told the URL when its answer is over.
+    `choose` returns URL, headers and extra members of the body of a request;
+    `on_end` is called with the URL when its answer has ended.
     """
 
-    choose: Callable[[Shape], tuple[str, dict[str, str], dict]]
-    done: Callable[[str], None]
+    choose: Callable[[Workload], tuple[str, dict[str, str], dict]]
+    on_end: Callable[[str], None]
 
 
 def run(
-    target: Target, shapes: Iterable[Shape], seconds: float, seed: int
+    target: Target, workloads: Iterable[Workload], seconds: float, seed: int
 ) -> list[Sample]:
-    """Send for so many seconds and wait for all answers."""
+    """Send for `seconds`, wait for all answers and return the samples."""
     samples: list[Sample] = []
     started = time.monotonic()
-    feeds = [
+    senders = [
         gevent.spawn(
-            _feed, target, shape, seconds, random.Random(seed + n), samples
+            _send_workload,
+            target,
+            workload,
+            seconds,
+            random.Random(seed + n),
+            samples,
         )
-        for n, shape in enumerate(shapes)
+        for n, workload in enumerate(workloads)
     ]
-    gevent.joinall(feeds, raise_error=True)
-    for feed in feeds:
-        gevent.joinall(feed.value, raise_error=True)
+    gevent.joinall(senders, raise_error=True)
+    for sender in senders:
+        gevent.joinall(sender.value, raise_error=True)
     return [
         sample._replace(due=sample.due - started)
         for sample in sorted(samples, key=lambda sample: sample.due)
     ]
 
 
-def _feed(
+def _send_workload(
     target: Target,
-    shape: Shape,
+    workload: Workload,
     seconds: float,
     rng: random.Random,
     samples: list[Sample],
@@ -94,53 +102,60 @@
     start = time.monotonic()
     due = 0.0
     calls = []
-    while shape.per_s:
-        due += rng.expovariate(shape.per_s)
+    while workload.requests_per_s:
+        due += rng.expovariate(workload.requests_per_s)
         if due > seconds:
             break
         gevent.sleep(max(0.0, start + due - time.monotonic()))
-        tokens = shape.max_tokens + rng.randint(-shape.spread, shape.spread)
+        tokens = workload.max_tokens + rng.randint(
+            -workload.spread, workload.spread
+        )
         body = {
             'model': 'story',
-            'prompt': shape.prompt(rng),
+            'prompt': workload.prompt(rng),
             'max_tokens': tokens,
             'stream': True,
         }
         calls.append(
-            gevent.spawn(_call, target, shape, body, start + due, samples)
+            gevent.spawn(_call, target, workload, body, start + due, samples)
         )
     return calls
 
 
 def _call(
     target: Target,
-    shape: Shape,
+    workload: Workload,
     body: dict,
     due: float,
     samples: list[Sample],
 ) -> None:
-    url, headers, more = target.choose(shape)
-    times: list[float] = []
-    last: dict = {}
+    url, headers, extra_members = target.choose(workload)
+    token_times: list[float] = []
+    final_event: dict = {}
     outcome = 'cut'
     try:
-        with gevent.Timeout(shape.deadline_s + 0.5):
-            outcome = _read(url, headers, body | more, times, last)
+        with gevent.Timeout(workload.deadline_s + 0.5):
+            outcome = _read(
+                url, headers, body | extra_members, token_times, final_event
+            )
     except (client.NoResponse, gevent.Timeout):
         pass
     finally:
-        target.done(url)
+        target.on_end(url)
     total_s = time.monotonic() - due
     samples.append(
         Sample(
-            shape.name,
+            workload.name,
             due,
-            outcome == 'answered' and total_s <= shape.deadline_s,
+            outcome == 'answered' and total_s <= workload.deadline_s,
             outcome,
-            times[0] - due if times else None,
+            token_times[0] - due if token_times else None,
             total_s,
-            tuple(b - a for a, b in zip(times, times[1:], strict=False)),
-            int(last.get('cached_tokens', 0)),
+            tuple(
+                b - a
+                for a, b in zip(token_times, token_times[1:], strict=False)
+            ),
+            int(final_event.get('cached_tokens', 0)),
         )
     )
 
@@ -149,13 +164,13 @@
     url: str,
     headers: dict[str, str],
     document: dict,
-    times: list[float],
-    last: dict,
+    token_times: list[float],
+    final_event: dict,
 ) -> str:
-    """Read a stream to its end and give its outcome.
+    """Read a stream to its end and return its outcome.
 
-    An engine that is called directly ends with [DONE]; the system ends with
-    an event of its own.
+    An engine that is called directly ends a stream with [DONE]; the system
+    ends it with an `outcome` event.
     """
     stream = client.Stream(url, document, headers, timeout_s=30.0)
     try:
@@ -164,13 +179,13 @@
         for event in stream.events():
             if event.data == '[DONE]':
                 return 'answered'
-            found = json.loads(event.data)
+            payload = json.loads(event.data)
             if event.name == 'outcome':
-                return found['outcome']
-            if 'finish' in found:
-                last.update(found)
+                return payload['outcome']
+            if 'finish' in payload:
+                final_event.update(payload)
             else:
-                times.append(event.at)
+                token_times.append(event.at)
         return 'cut'
     finally:
         stream.close()
