--- a/packages/burdockchute-testing/burdockchute_testing/benches/__init__.py
+++ b/packages/burdockchute-testing/burdockchute_testing/benches/__init__.py
@@ -1,3 +1,3 @@
-"""Benches: each prints one JSON object a line, see `results`."""
+"""Benchmarks; each prints one JSON object per line, see `results`."""
 
 from __future__ import annotations
--- a/packages/burdockchute-testing/burdockchute_testing/benches/control.py
+++ b/packages/burdockchute-testing/burdockchute_testing/benches/control.py
@@ -1,8 +1,9 @@
-"""What control costs while nothing else happens (make bench-control).
+"""Cost of control traffic in an idle system (make bench-control).
 
-One entry with N agents, then one agent with M entries: processor time, bytes
-over links and memory of each, and their slopes with the number of links. From
-these docs/CAPACITY.md works out what the size to come costs a node.
+Measures one entry with N agents, then one agent with M entries: processor
+time, bytes over links and memory of each, and their slopes over the number
+of links. docs/CAPACITY.md extrapolates from these to the cost per node at
+the planned size.
 """
 
 from __future__ import annotations
@@ -22,13 +23,13 @@
 ENTRIES = (1, 2, 4)
 SETTLE_S = 3.0
 
-CORE_SHARE = 0.035
-MEMORY_MB = 128.0
-BYTES_PER_S = 23_000.0
+MAX_CORE_SHARE = 0.035
+MAX_MEMORY_MB = 128.0
+MAX_LINK_BYTES_PER_S = 23_000.0
 
 
 class Cost(NamedTuple):
-    """Of one process: share of a core, MB resident, bytes sent a second."""
+    """Cost of one process: core share, resident MB, bytes sent per second."""
 
     core: float
     rss: float
@@ -38,17 +39,17 @@
 def main() -> None:
     """Run every case and print the results."""
     args = _parse()
-    entry = {}
-    agent = {}
+    entry_costs = {}
+    agent_costs = {}
     for count in AGENTS:
-        entry[count], agent_cost = _measure(1, count, args.seconds)
-        _emit_cost(f'entry, {count} agents', entry[count])
+        entry_costs[count], agent_cost = _measure(1, count, args.seconds)
+        _emit_cost(f'entry, {count} agents', entry_costs[count])
         _emit_cost(f'agent, 1 entry of {count} agents', agent_cost)
     for count in ENTRIES:
-        _entry_cost, agent[count] = _measure(count, 4, args.seconds)
-        _emit_cost(f'agent, {count} entries', agent[count])
-    _emit_slopes('entry, each agent more', entry)
-    _emit_slopes('agent, each entry more', agent)
+        _entry_cost, agent_costs[count] = _measure(count, 4, args.seconds)
+        _emit_cost(f'agent, {count} entries', agent_costs[count])
+    _emit_slopes('entry, each agent more', entry_costs)
+    _emit_slopes('agent, each entry more', agent_costs)
 
 
 def _parse() -> argparse.Namespace:
@@ -73,21 +74,21 @@
             'every agent has its links',
         )
         time.sleep(SETTLE_S)
-        return _costs(system, seconds)
+        return _measure_costs(system, seconds)
 
 
-def _costs(system: System, seconds: float) -> tuple[Cost, Cost]:
+def _measure_costs(system: System, seconds: float) -> tuple[Cost, Cost]:
     names = ['entry-0', *system.agents]
     before = {name: _sample(system, name) for name in names}
     started = time.monotonic()
     time.sleep(seconds)
     after = {name: _sample(system, name) for name in names}
-    passed = time.monotonic() - started
+    elapsed_s = time.monotonic() - started
     costs = {
         name: Cost(
-            (after[name].core - before[name].core) / passed,
+            (after[name].core - before[name].core) / elapsed_s,
             after[name].rss,
-            (after[name].sent - before[name].sent) / passed,
+            (after[name].sent - before[name].sent) / elapsed_s,
         )
         for name in names
     }
@@ -95,7 +96,7 @@
     mean = Cost(
         *(sum(values) / len(agents) for values in zip(*agents, strict=True))
     )
-    # What the agents send is what the entry receives.
+    # The entry receives what the agents send.
     received = sum(cost.sent for cost in agents)
     entry = costs['entry-0']
     return entry._replace(sent=entry.sent + received), mean
@@ -118,10 +119,12 @@
         'processor',
         cost.core * 100,
         '% of a core',
-        CORE_SHARE * 100,
+        MAX_CORE_SHARE * 100,
+    )
+    results.emit(BENCH, case, 'resident', cost.rss, 'MB', MAX_MEMORY_MB)
+    results.emit(
+        BENCH, case, 'link bytes', cost.sent, '1/s', MAX_LINK_BYTES_PER_S
     )
-    results.emit(BENCH, case, 'resident', cost.rss, 'MB', MEMORY_MB)
-    results.emit(BENCH, case, 'link bytes', cost.sent, '1/s', BYTES_PER_S)
 
 
 def _emit_slopes(case: str, costs: dict[int, Cost]) -> None:
@@ -140,10 +143,10 @@
 def _slope(xs: list[float], ys: list[float]) -> float:
     mean_x = sum(xs) / len(xs)
     mean_y = sum(ys) / len(ys)
-    over = sum(
+    numerator = sum(
         (x - mean_x) * (y - mean_y) for x, y in zip(xs, ys, strict=True)
     )
-    return over / sum((x - mean_x) ** 2 for x in xs)
+    return numerator / sum((x - mean_x) ** 2 for x in xs)
 
 
 if __name__ == '__main__':
--- a/packages/burdockchute-testing/burdockchute_testing/benches/engine_host.py
+++ b/packages/burdockchute-testing/burdockchute_testing/benches/engine_host.py
@@ -1,4 +1,4 @@
-"""Several engine stand-ins in one process, to save memory in big benches."""
+"""Several engine stand-ins in one process, to save memory in large runs."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def main() -> None:
-    """Serve engines until the parent ends; tells their ports in one line."""
+    """Serve engines until terminated; print their ports on one line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--count', type=int, required=True)
     parser.add_argument('--seed', type=int, default=1)
--- a/packages/burdockchute-testing/burdockchute_testing/benches/path.py
+++ b/packages/burdockchute-testing/burdockchute_testing/benches/path.py
@@ -1,7 +1,7 @@
-"""What the two hops through entry and agent cost (make bench-path).
+"""Cost of the two hops through entry and agent (make bench-path).
 
-The direct calls to the stand-in engine, from the same generator in the same
-run, are what the added latency is measured against.
+Added latency is measured against direct calls to the stand-in engine, which
+the same generator sends in the same run.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
 CHUNK_BYTES = 250_000
 SEED = 1
 
-ADDED_P95_MS = 3.0
-REQUESTS_PER_S = 1000.0
-RSS_MB = 100.0
+MAX_ADDED_P95_MS = 3.0
+MIN_REQUESTS_PER_S = 1000.0
+MAX_RSS_MB = 100.0
 RSS_AFTER_REQUESTS = 10_000
 STREAMS = 32
 STREAM_TOKENS = 100
@@ -36,8 +36,8 @@
 ENGINE_OPTIONS = {'slots': 256, 'token_interval_s': 0.002}
 
 
-class Load(NamedTuple):
-    """What one run of the generator brought."""
+class GeneratorResult(NamedTuple):
+    """Latencies, errors and duration of one run; times in seconds."""
 
     latencies: list[float]
     errors: dict[str, int]
@@ -49,11 +49,11 @@
     args = _parse()
     with System() as system:
         digest = _start(system)
-        top = _peak(system, args.seconds)
-        rate = args.rate or top / 2
-        _compare(system, digest, rate, args.seconds)
-        _stream(system, args.seconds)
-        _memory(system, args.seconds)
+        peak_rate = _measure_peak(system, args.seconds)
+        rate = args.rate or peak_rate / 2
+        _measure_added_latency(system, digest, rate, args.seconds)
+        _measure_streams(system, args.seconds)
+        _measure_memory(system, args.seconds)
 
 
 def _parse() -> argparse.Namespace:
@@ -63,7 +63,7 @@
         '--rate',
         type=float,
         default=0.0,
-        help='requests a second of the latency case, default half the peak',
+        help='requests per second of the latency case, default half the peak',
     )
     return parser.parse_args()
 
@@ -94,75 +94,79 @@
     return digest
 
 
-def _peak(system: System, seconds: float) -> float:
-    before = _processor_s(system)
-    load = _generate(
+def _measure_peak(system: System, seconds: float) -> float:
+    before = _cpu_seconds(system)
+    result = _generate(
         system.url('entry', 'http_port'), seconds, concurrency=128
     )
-    count = len(load.latencies)
-    rate = count / load.seconds
-    _emit('peak', 'requests', rate, '1/s', REQUESTS_PER_S)
-    _emit('peak', 'errors', sum(load.errors.values()), '1', 0)
-    used = {
+    count = len(result.latencies)
+    rate = count / result.seconds
+    _emit('peak', 'requests', rate, '1/s', MIN_REQUESTS_PER_S)
+    _emit('peak', 'errors', sum(result.errors.values()), '1', 0)
+    cpu_s = {
         name: after - before[name]
-        for name, after in _processor_s(system).items()
+        for name, after in _cpu_seconds(system).items()
     }
-    agents = sum(used[name] for name in system.agents)
-    _emit('peak', 'entry processor', used['entry'] / count * 1e3, 'ms')
+    agents = sum(cpu_s[name] for name in system.agents)
+    _emit('peak', 'entry processor', cpu_s['entry'] / count * 1e3, 'ms')
     _emit('peak', 'agent processor', agents / count * 1e3, 'ms')
-    _emit('peak', 'entry core', used['entry'] / load.seconds, 'core')
-    per_core = count / used['entry']
-    _emit('peak', 'requests per entry core', per_core, '1/s', REQUESTS_PER_S)
+    _emit('peak', 'entry core', cpu_s['entry'] / result.seconds, 'core')
+    per_core = count / cpu_s['entry']
+    _emit(
+        'peak', 'requests per entry core', per_core, '1/s', MIN_REQUESTS_PER_S
+    )
     return rate
 
 
-def _compare(system: System, digest: str, rate: float, seconds: float) -> None:
+def _measure_added_latency(
+    system: System, digest: str, rate: float, seconds: float
+) -> None:
     through = _generate(system.url('entry', 'http_port'), seconds, rate=rate)
     direct = _generate(
         system.url('engine-0'), seconds, rate=rate / ENGINES, digest=digest
     )
     case = f'{rate:.0f} requests/s'
     for share, name in ((0.5, 'p50'), (0.95, 'p95'), (0.99, 'p99')):
-        ours = results.percentile(through.latencies, share) * 1e3
-        bare = results.percentile(direct.latencies, share) * 1e3
-        bound = ADDED_P95_MS if name == 'p95' else None
-        _emit(case, f'direct {name}', bare, 'ms')
-        _emit(case, f'through {name}', ours, 'ms')
-        _emit(case, f'added {name}', ours - bare, 'ms', bound)
-        _emit(case, f'ratio {name}', ours / bare, '1')
-
-
-def _stream(system: System, seconds: float) -> None:
-    before = _processor_s(system)
-    load = _generate(
+        through_ms = results.percentile(through.latencies, share) * 1e3
+        direct_ms = results.percentile(direct.latencies, share) * 1e3
+        bound = MAX_ADDED_P95_MS if name == 'p95' else None
+        _emit(case, f'direct {name}', direct_ms, 'ms')
+        _emit(case, f'through {name}', through_ms, 'ms')
+        _emit(case, f'added {name}', through_ms - direct_ms, 'ms', bound)
+        _emit(case, f'ratio {name}', through_ms / direct_ms, '1')
+
+
+def _measure_streams(system: System, seconds: float) -> None:
+    before = _cpu_seconds(system)
+    result = _generate(
         system.url('entry', 'http_port'),
         seconds,
         concurrency=STREAMS,
         tokens=STREAM_TOKENS,
     )
-    used = {
+    cpu_s = {
         name: after - before[name]
-        for name, after in _processor_s(system).items()
+        for name, after in _cpu_seconds(system).items()
     }
-    parts = len(load.latencies) * (STREAM_TOKENS + 1)
+    parts = len(result.latencies) * (STREAM_TOKENS + 1)
     case = f'{STREAMS} streams of {STREAM_TOKENS} tokens'
-    agents = sum(used[name] for name in system.agents)
-    _emit(case, 'parts', parts / load.seconds, '1/s')
-    _emit(case, 'entry processor a part', used['entry'] / parts * 1e6, 'us')
+    agents = sum(cpu_s[name] for name in system.agents)
+    _emit(case, 'parts', parts / result.seconds, '1/s')
+    _emit(case, 'entry processor a part', cpu_s['entry'] / parts * 1e6, 'us')
     _emit(case, 'agent processor a part', agents / parts * 1e6, 'us')
 
 
-def _memory(system: System, seconds: float) -> None:
-    done = 0
-    while done < RSS_AFTER_REQUESTS:
-        load = _generate(
+def _measure_memory(system: System, seconds: float) -> None:
+    answered = 0
+    while answered < RSS_AFTER_REQUESTS:
+        result = _generate(
             system.url('entry', 'http_port'), seconds, concurrency=64
         )
-        done += len(load.latencies)
+        answered += len(result.latencies)
     case = f'after {RSS_AFTER_REQUESTS} requests and more'
     for name in ('entry', 'agent-0'):
         rss = psutil.Process(system[name].pid).memory_info().rss / 1e6
-        _emit(case, f'{name} resident', rss, 'MB', RSS_MB)
+        _emit(case, f'{name} resident', rss, 'MB', MAX_RSS_MB)
 
 
 def _generate(
@@ -172,7 +176,7 @@
     concurrency: int = 128,
     digest: str = '',
     tokens: int = 0,
-) -> Load:
+) -> GeneratorResult:
     command = [
         sys.executable,
         '-m',
@@ -186,17 +190,21 @@
     ]
     if tokens:
         command += ['--stream', f'--max-tokens={tokens}']
-    done = subprocess.run(command, capture_output=True, text=True, check=True)
-    found = json.loads(done.stdout)
-    return Load(found['latencies'], found['errors'], found['seconds'])
+    finished = subprocess.run(
+        command, capture_output=True, text=True, check=True
+    )
+    document = json.loads(finished.stdout)
+    return GeneratorResult(
+        document['latencies'], document['errors'], document['seconds']
+    )
 
 
-def _processor_s(system: System) -> dict[str, float]:
-    found = {}
+def _cpu_seconds(system: System) -> dict[str, float]:
+    cpu_s = {}
     for name in ('entry', *system.agents):
         times = psutil.Process(system[name].pid).cpu_times()
-        found[name] = times.user + times.system
-    return found
+        cpu_s[name] = times.user + times.system
+    return cpu_s
 
 
 if __name__ == '__main__':
--- a/packages/burdockchute-testing/burdockchute_testing/benches/results.py
+++ b/packages/burdockchute-testing/burdockchute_testing/benches/results.py
@@ -22,7 +22,7 @@
     unit: str,
     bound: float | None = None,
 ) -> None:
-    """Print one value; `bound` is the limit that it is held against."""
+    """Print one value; `bound` is the limit that it is compared with."""
     line = {
         'bench': bench,
         'case': case,
@@ -35,12 +35,12 @@
 
 
 def emitter(bench: str) -> Callable[..., None]:
-    """Give `emit` for one bench."""
+    """Return `emit` with its first argument bound to `bench`."""
     return functools.partial(emit, bench)
 
 
 def percentile(values: Sequence[float], share: float) -> float:
-    """Give the smallest value that at least this share lies at or below.
+    """Return the smallest value with at least `share` of all at or below it.
 
     >>> percentile([1.0, 2.0, 3.0, 4.0], 0.5)
     2.0
