--- a/packages/burdockchute-testing/burdockchute_testing/benches/rollout_agent.py
+++ b/packages/burdockchute-testing/burdockchute_testing/benches/rollout_agent.py
@@ -1,4 +1,4 @@
-"""The agent's own program with one of the compared policies in it."""
+"""The agent program, run with one of the compared policies."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def main() -> int:
-    """Run the agent; policy and seed come from the environment."""
+    """Run the agent with policy and seed from the environment."""
     app.WeightsTask = functools.partial(  # type: ignore[misc, assignment]
         WeightsTask,
         policy=POLICIES[os.environ[POLICY_VARIABLE]],
--- a/packages/burdockchute-testing/burdockchute_testing/benches/rollout_fleet.py
+++ b/packages/burdockchute-testing/burdockchute_testing/benches/rollout_fleet.py
@@ -1,4 +1,4 @@
-"""Real agent processes with a platform and an entry, for the rollout bench."""
+"""Real agent processes, a platform and an entry for the rollout benchmark."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 from burdockchute_testing.processes import Process
 from burdockchute_testing.processes import serving_ports
 
-BEARER = 'rollout-bench'
-ENGINES_AT_ONCE = 25
+API_KEY = 'rollout-bench'
+ENGINES_PER_HOST = 25
 ZONES = 6
-ZONES_OF_REGION = 2
+ZONES_PER_REGION = 2
 
 _PORTS = re.compile(r'^ready ports=([\d,]+)$', re.MULTILINE)
-_EVENT = re.compile(r'^at="?([^"]+?)"? level=\w+ event=(\w+) (.*)$')
+_EVENT_LINE = re.compile(r'^at="?([^"]+?)"? level=\w+ event=(\w+) (.*)$')
 _FIELD = re.compile(r'(\w+)=("[^"]*"|\S+)')
 
 
 class LogEvent(NamedTuple):
-    """One line of an agent's log; `at` is in unix seconds."""
+    """One line of the log of an agent; `at` is in Unix seconds."""
 
     agent: str
     at: float
@@ -40,14 +40,14 @@
 
 
 class Usage(NamedTuple):
-    """Processor seconds so far and resident bytes now."""
+    """Processor seconds so far and current resident bytes."""
 
     cpu_s: float
     rss: int
 
 
 class Fleet:
-    """Agents beside engines, known to one entry."""
+    """Agents, each with an engine, that are listed at one entry."""
 
     def __init__(
         self, system: harness.System, count: int, policy: str, seed: int
@@ -56,24 +56,26 @@
         self.names = [f'a{number:03}' for number in range(count)]
         self._policy = policy
         self._seed = seed
-        self._read: dict[str, int] = {}
-        self._seen: list[LogEvent] = []
+        self._log_offsets: dict[str, int] = {}
+        self._events: list[LogEvent] = []
 
-    def start(self, link: float, origin: float) -> None:
-        """Start everything; rates are in bytes per second."""
-        self.system.add_platform(store={'bytes_per_s': origin})
+    def start(
+        self, link_bytes_per_s: float, origin_bytes_per_s: float
+    ) -> None:
+        """Start platform, entry, engines and agents; wait until ready."""
+        self.system.add_platform(store={'bytes_per_s': origin_bytes_per_s})
         entry = self.system.add_entry('e1')
         self.entry_url = entry
         ports = self._start_engines()
         for number, name in enumerate(self.names):
-            self._spawn_agent(name, number, ports[number], link)
+            self._spawn_agent(name, number, ports[number], link_bytes_per_s)
         for number, name in enumerate(self.names):
             self.system[name].wait_ports(serving_ports)
             self.system.list_instance(name, 'agent', _location(number))
         self.system.wait_ready('e1')
 
-    def open_at(self, digest: str) -> dict[str, float]:
-        """Give for each agent when it first opened a digest."""
+    def opened_at(self, digest: str) -> dict[str, float]:
+        """Return by agent when it first opened a digest, in Unix seconds."""
         found: dict[str, float] = {}
         for event in self.events('gate_opened'):
             if event.fields.get('digest') == digest:
@@ -81,13 +83,13 @@
         return found
 
     def events(self, name: str) -> list[LogEvent]:
-        """Give all events of a name that agents have logged so far."""
+        """Return all events of a name that agents have logged so far."""
         for agent in self.names:
             self._read_log(agent)
-        return [event for event in self._seen if event.name == name]
+        return [event for event in self._events if event.name == name]
 
     def usage(self) -> dict[str, Usage]:
-        """Give what each living agent has used."""
+        """Return the resource usage of each agent that is still running."""
         found = {}
         for name in self.names:
             try:
@@ -101,16 +103,16 @@
         return found
 
     def origin_bytes(self, digest: str) -> int:
-        """Give how many bytes of a digest the store has sent."""
+        """Return the number of bytes of a digest that the store has sent."""
         stats = client.get(f'{self.system.url("store")}/stats').json()
         return stats['by_digest'].get(digest, 0)
 
     def set_customer(self) -> None:
-        """Let the bench call, without a limit that it could reach."""
+        """Add the customer that sends, with rate limits out of its reach."""
         self.system.set_row(
             'customer',
             'bench',
-            key_digests=blake3.blake3(BEARER.encode()).hexdigest(),
+            key_digests=blake3.blake3(API_KEY.encode()).hexdigest(),
             requests_per_s=10_000,
             tokens_per_s=10_000_000,
         )
@@ -118,7 +120,7 @@
     def _start_engines(self) -> list[int]:
         ports: list[int] = []
         while len(ports) < len(self.names):
-            count = min(ENGINES_AT_ONCE, len(self.names) - len(ports))
+            count = min(ENGINES_PER_HOST, len(self.names) - len(ports))
             name = f'engines{len(ports)}'
             module = 'burdockchute_testing.benches.engine_host'
             host = Process(
@@ -132,7 +134,7 @@
         return ports
 
     def _spawn_agent(
-        self, name: str, number: int, port: int, link: float
+        self, name: str, number: int, port: int, link_bytes_per_s: float
     ) -> None:
         location = _location(number)
         values = {
@@ -143,8 +145,8 @@
             'log-url': self.system.url('log'),
             'store-url': self.system.url('store'),
             'upstream-url': f'http://{harness.ADDRESS}:{port}',
-            'uplink-bytes-per-s': str(int(link)),
-            'downlink-bytes-per-s': str(int(link)),
+            'uplink-bytes-per-s': str(int(link_bytes_per_s)),
+            'downlink-bytes-per-s': str(int(link_bytes_per_s)),
         }
         flags = [f'--{key}={value}' for key, value in values.items()]
         os.environ[rollout_agent.POLICY_VARIABLE] = self._policy
@@ -158,14 +160,16 @@
 
     def _read_log(self, agent: str) -> None:
         with open(self.system[agent].err, errors='replace') as log:
-            log.seek(self._read.get(agent, 0))
+            log.seek(self._log_offsets.get(agent, 0))
             text = log.read()
-        whole = text[: text.rfind('\n') + 1]
-        self._read[agent] = self._read.get(agent, 0) + len(whole.encode())
-        for line in whole.splitlines():
-            found = _EVENT.match(line)
+        complete_lines = text[: text.rfind('\n') + 1]
+        self._log_offsets[agent] = self._log_offsets.get(agent, 0) + len(
+            complete_lines.encode()
+        )
+        for line in complete_lines.splitlines():
+            found = _EVENT_LINE.match(line)
             if found:
-                self._seen.append(
+                self._events.append(
                     LogEvent(
                         agent,
                         _unix_s(found[1]),
@@ -178,7 +182,7 @@
 def wait_for_all(fleet: Fleet, digest: str, names: set[str]) -> None:
     """Wait until these agents have opened a digest."""
     harness.wait_until(
-        lambda: names <= fleet.open_at(digest).keys(),
+        lambda: names <= fleet.opened_at(digest).keys(),
         f'{digest} is open',
         timeout_s=240.0,
     )
@@ -186,13 +190,13 @@
 
 
 def emit(**fields: object) -> None:
-    """Write one line of the result."""
+    """Print one result as a line of JSON."""
     print(json.dumps(fields), flush=True)
 
 
 def _location(number: int) -> harness.Location:
     zone = number % ZONES
-    return harness.Location(f'z{zone}', f'r{zone // ZONES_OF_REGION}')
+    return harness.Location(f'z{zone}', f'r{zone // ZONES_PER_REGION}')
 
 
 def _ports(host: Process) -> list[int]:
--- a/packages/burdockchute-testing/burdockchute_testing/benches/rollout_load.py
+++ b/packages/burdockchute-testing/burdockchute_testing/benches/rollout_load.py
@@ -1,4 +1,4 @@
-"""Live requests that flow while weights are copied."""
+"""Live requests that are sent while weights are copied."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 import gevent
 
 from burdockchute_testing import calls
-from burdockchute_testing.benches.rollout_fleet import BEARER
+from burdockchute_testing.benches.rollout_fleet import API_KEY
 
 REQUESTS_PER_S = 25.0
 TOKENS = 16
 
 
-class Latency(NamedTuple):
-    """Of the requests begun in a span of time; seconds."""
+class TrafficSummary(NamedTuple):
+    """Counts and latency of the requests started in a time span."""
 
-    asked: int
+    sent: int
     failed: int
     p95_s: float
 
 
-class Load:
-    """Sends completions at random times of a fixed mean rate."""
+class LiveTraffic:
+    """Sends completions at random times with a fixed mean rate."""
 
     def __init__(self, entry_url: str, model: str, seed: int) -> None:
         self.calls: list[calls.Call] = []
@@ -35,19 +35,23 @@
         self._task = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """Send no more."""
+        """Stop sending."""
         self._task.kill()
 
-    def between(self, start: float, end: float) -> Latency:
-        """Give the latency of the requests begun in a span of time."""
-        found = [call for call in self.calls if start <= call.start < end]
-        good = [c for c in found if c.outcome == calls.ANSWERED]
-        took = sorted(call.end - call.start for call in good)
-        p95 = took[math.ceil(0.95 * len(took)) - 1] if took else math.nan
-        return Latency(len(found), len(found) - len(good), p95)
+    def summarize(self, start: float, end: float) -> TrafficSummary:
+        """Summarize the requests started in a span of Unix seconds."""
+        started = [call for call in self.calls if start <= call.start < end]
+        answered = [c for c in started if c.outcome == calls.ANSWERED]
+        durations_s = sorted(call.end - call.start for call in answered)
+        p95 = (
+            durations_s[math.ceil(0.95 * len(durations_s)) - 1]
+            if durations_s
+            else math.nan
+        )
+        return TrafficSummary(len(started), len(started) - len(answered), p95)
 
     def digests(self, start: float, end: float) -> set[str]:
-        """Give the digests that answers begun in a span of time named."""
+        """Return the digests in answers to requests started in a time span."""
         return {
             digest
             for call in self.calls
@@ -70,5 +74,5 @@
             max_tokens=TOKENS,
         )
         started = time.time()
-        call = calls.send(self._entry_url, BEARER, spec)
+        call = calls.send(self._entry_url, API_KEY, spec)
         self.calls.append(call._replace(start=started))
--- a/packages/burdockchute-testing/burdockchute_testing/benches/rollout_plot.py
+++ b/packages/burdockchute-testing/burdockchute_testing/benches/rollout_plot.py
@@ -1,4 +1,4 @@
-"""Plot replicas live over time from the output of the rollout bench.
+"""Plot live replicas over time from the output of the rollout benchmark.
 
 python -m burdockchute_testing.benches.rollout_plot IN.jsonl OUT.svg
 """
@@ -17,7 +17,7 @@
 
 
 def main() -> None:
-    """Draw one line for each case."""
+    """Draw one curve per case."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('results', type=pathlib.Path)
     parser.add_argument('picture', type=pathlib.Path, help='SVG or PNG')
@@ -26,7 +26,7 @@
 
 
 def read_cases(text: str) -> dict[str, list[float]]:
-    """Give when each replica was live, in size/link, by case.
+    """Return by case when each replica was live, in units of size/link.
 
     >>> read_cases('{"case": "x", "metric": "live_at", "value": [1.2]}')
     {'x': [1.2]}
@@ -40,7 +40,7 @@
 
 
 def draw(cases: dict[str, list[float]], picture: pathlib.Path) -> None:
-    """Write the picture in the format that its suffix names."""
+    """Write the picture in the format given by its suffix."""
     figure, axes = pyplot.subplots(figsize=(8, 5))
     for name, times in cases.items():
         shares = [(rank + 1) / len(times) for rank in range(len(times))]
--- a/packages/burdockchute-testing/burdockchute_testing/benches/rollout_policies.py
+++ b/packages/burdockchute-testing/burdockchute_testing/benches/rollout_policies.py
@@ -1,8 +1,9 @@
-"""Ways to spread weights that the rollout bench compares.
+"""Policies for distributing weights that the rollout benchmark compares.
 
-`rarest-least-loaded` and the other peer choices use the agent's own
+`rarest-least-loaded` and the other chunk policies use the agent's own
 neighbours and origin readers. The baselines replace these: `origin` has no
-peers, `chain` passes chunks from one to the next, `tree` from each to two.
+peers, in `chain` each agent copies from the one before it, and in `tree`
+two agents copy from each one.
 """
 
 from __future__ import annotations
@@ -16,8 +17,8 @@
 from burdockchute_agent.policy import DEFAULT_POLICY
 from burdockchute_agent.policy import Policy
 
-# Steps before one that must not read the origin at all.
-_NEVER = 100_000
+# Group index of an agent that must not read the origin: its turn never comes.
+_NEVER_READS = 100_000
 
 
 def _no_peers(
@@ -26,7 +27,7 @@
     return ()
 
 
-def _everyone_reads(
+def _all_read_origin(
     digest: str, own: str, hosts: Sequence[str]
 ) -> ReaderGroup:
     return ReaderGroup(own, (own,), 0)
@@ -35,37 +36,39 @@
 def _chain_parent(
     key: str, own: Member, hosts: Sequence[Member]
 ) -> tuple[str, ...]:
-    order = _order([host.name for host in hosts])
-    at = order.index(own.name)
-    return (order[at - 1],) if at else ()
+    order = _ranking([host.name for host in hosts])
+    position = order.index(own.name)
+    return (order[position - 1],) if position else ()
 
 
 def _tree_parent(
     key: str, own: Member, hosts: Sequence[Member]
 ) -> tuple[str, ...]:
-    order = _order([host.name for host in hosts])
-    at = order.index(own.name)
-    return (order[(at - 1) // 2],) if at else ()
+    order = _ranking([host.name for host in hosts])
+    position = order.index(own.name)
+    return (order[(position - 1) // 2],) if position else ()
 
 
-def _head_reads(digest: str, own: str, hosts: Sequence[str]) -> ReaderGroup:
-    is_head = _order(hosts)[:1] == [own]
-    return ReaderGroup(own, (own,), 0 if is_head else _NEVER)
+def _head_reads_origin(
+    digest: str, own: str, hosts: Sequence[str]
+) -> ReaderGroup:
+    is_head = _ranking(hosts)[:1] == [own]
+    return ReaderGroup(own, (own,), 0 if is_head else _NEVER_READS)
 
 
-def _order(names: Sequence[str]) -> list[str]:
+def _ranking(names: Sequence[str]) -> list[str]:
     return ranked('baseline', names)
 
 
 BASELINES: dict[str, Policy] = {
     'origin': DEFAULT_POLICY._replace(
-        neighbours=_no_peers, readers=_everyone_reads
+        neighbours=_no_peers, readers=_all_read_origin
     ),
     'chain': DEFAULT_POLICY._replace(
-        neighbours=_chain_parent, readers=_head_reads
+        neighbours=_chain_parent, readers=_head_reads_origin
     ),
     'tree': DEFAULT_POLICY._replace(
-        neighbours=_tree_parent, readers=_head_reads
+        neighbours=_tree_parent, readers=_head_reads_origin
     ),
 }
 
