--- a/packages/burdockchute-agent/tests/test_rollouts.py
+++ b/packages/burdockchute-agent/tests/test_rollouts.py
@@ -194,7 +194,7 @@
                 )
             ),
         )
-        self.fleet.others.append(peer.member)
+        self.fleet.extra_members.append(peer.member)
         return peer
 
     def test_origin_sends_corrupt_chunks(self):
--- a/packages/burdockchute-testing/burdockchute_testing/builders/load_simulation.py
+++ b/packages/burdockchute-testing/burdockchute_testing/builders/load_simulation.py
@@ -25,7 +25,7 @@
 from burdockchute.wire import messages
 from burdockchute_testing.builders import routing
 
-REPORT_S = 1.0
+REPORT_INTERVAL_S = 1.0
 
 
 class _UpstreamLink(routing.FakeLink):
@@ -121,7 +121,7 @@
             slots=self.slots,
             running=self._running_or_queued(),
         )
-        self._simulation.schedule(REPORT_S, self._report)
+        self._simulation.schedule(REPORT_INTERVAL_S, self._report)
 
 
 class LoadSimulation:
@@ -185,9 +185,15 @@
     matches: Callable[[RequestContext], bool] = lambda ctx: True,
 ) -> LatencySummary:
     """Return answer counts and latencies of the requests that match."""
-    selected = [one for one in finished if matches(one.ctx)]
+    selected = [
+        request_summary
+        for request_summary in finished
+        if matches(request_summary.ctx)
+    ]
     times = sorted(
-        one.total_s for one in selected if isinstance(one.outcome, Answered)
+        request_summary.total_s
+        for request_summary in selected
+        if isinstance(request_summary.outcome, Answered)
     )
     return LatencySummary(
         len(selected), len(times), quantile(times, 0.5), quantile(times, 0.95)
--- a/packages/burdockchute-testing/burdockchute_testing/emulator/deployments.py
+++ b/packages/burdockchute-testing/burdockchute_testing/emulator/deployments.py
@@ -16,7 +16,7 @@
 
 
 def small(entries: int = 5, engines: int = 6) -> Deployment:
-    """Return a site of a few large engines."""
+    """Return a small site, of a few large engines."""
     return Deployment(
         entries,
         engines,
@@ -30,7 +30,7 @@
     )
 
 
-def grown(entries: int = 14, engines: int = 20) -> Deployment:
+def medium(entries: int = 14, engines: int = 20) -> Deployment:
     """Return a medium site, of some dozens of machines."""
     return Deployment(
         entries,
@@ -46,7 +46,7 @@
 
 
 def large(entries: int = 36, engines: int = 60) -> Deployment:
-    """Return a site of about a hundred machines."""
+    """Return a large site, of about a hundred machines."""
     return Deployment(
         entries,
         engines,
--- a/packages/burdockchute-testing/burdockchute_testing/fakes/fleet.py
+++ b/packages/burdockchute-testing/burdockchute_testing/fakes/fleet.py
@@ -206,7 +206,7 @@
         self.store = weight_store.WeightStore(**store)
         self.store_url = local.start(case, self.store.handle)
         self.agents: dict[str, Agent] = {}
-        self.others: list[Member] = []
+        self.extra_members: list[Member] = []
         self._case = case
         self._offset = 0
         self._table = Table(0, MappingProxyType({}))
@@ -246,7 +246,7 @@
         other regions reach it.
         """
         known = [agent.member for agent in self.agents.values()]
-        known.extend(self.others)
+        known.extend(self.extra_members)
         for agent in self.agents.values():
             members = tuple(
                 _seen_from(member, agent.place, relays or {})
--- a/packages/burdockchute-testing/burdockchute_testing/standins/engine.py
+++ b/packages/burdockchute-testing/burdockchute_testing/standins/engine.py
@@ -64,7 +64,7 @@
         self._rng = random.Random(seed)
         self._faults = dict(FAULTS)
         self._load_lag_s = load_lag_s
-        self._loads: list[tuple[float, dict[str, Any]]] = []
+        self._load_reports: list[tuple[float, dict[str, Any]]] = []
         self._recording = recording.Recording(history)
         self._cache = prefix_cache.PrefixCache(
             cache_blocks, random.Random(seed + 1), cache_lag_s, cache_gap_share
@@ -246,12 +246,14 @@
     def _load(self) -> dict[str, Any]:
         """Return the newest report that is at least as old as the lag."""
         now = self._clock()
-        self._loads.append((now, self._load_now()))
-        newest = self._loads[0]
-        for report in self._loads:
+        self._load_reports.append((now, self._load_now()))
+        newest = self._load_reports[0]
+        for report in self._load_reports:
             if report[0] <= now - self._load_lag_s:
                 newest = report
-        self._loads = [r for r in self._loads if r[0] >= newest[0]]
+        self._load_reports = [
+            r for r in self._load_reports if r[0] >= newest[0]
+        ]
         return newest[1]
 
     def _load_now(self) -> dict[str, Any]:
--- a/packages/burdockchute-testing/tests/test_agent_process.py
+++ b/packages/burdockchute-testing/tests/test_agent_process.py
@@ -61,7 +61,7 @@
 
 
 class AgentProcessTest(AgentCase):
-    def test_stream_comes_whole(self):
+    def test_stream_is_complete(self):
         # Engines report fractional rates. An integer field of the load report
         # once rejected them, and the reports stopped for good.
         self.start_engine(prefill_tokens_per_s=1234.5)
@@ -84,7 +84,7 @@
         self.assertEqual(('', 51), (end.error, len(parts)))
         self.assertEqual(0, self.system['a1'].wait())
 
-    def test_dispatch_that_crosses_the_news_of_leaving_is_refused(self):
+    def test_dispatch_during_the_shutdown_report_is_refused(self):
         # An entry dispatches a request just as the agent starts to shut down.
         # If the agent closed its links at once, it would not be known whether
         # the request ran, and a print proof would get the outcome unknown.
@@ -127,7 +127,7 @@
             timeout_s=4.0,
         )
 
-    def test_engine_crash_is_told_as_such(self):
+    def test_engine_crash_is_reported_as_such(self):
         # A prompt crashes the engine. Unless the agent reports the crash, the
         # request is sent to the next engine, and so on to all of them.
         self.start_engine()
@@ -149,7 +149,7 @@
         self.assertEqual('', text)
         self.assertIn('answer is from weights', end.error)
 
-    def test_stream_that_stands_still_ends(self):
+    def test_stalled_stream_ends(self):
         # The engine stalls in the middle of a request. Otherwise the caller
         # would wait, and the slot be in use, until the deadline.
         self.system.add_engine('m1')
--- a/packages/burdockchute-testing/tests/test_emulator.py
+++ b/packages/burdockchute-testing/tests/test_emulator.py
@@ -11,7 +11,7 @@
 
 # Capacity of the engines of the deployments, in requests per second.
 SMALL_CAPACITY = 54.0
-GROWN_CAPACITY = 185.0
+MEDIUM_CAPACITY = 185.0
 
 
 class EmulatorTest(unittest.TestCase):
@@ -37,7 +37,7 @@
         100 requests were late.
         """
         result = self.simulate(
-            deployments.grown(), lambda now: 0.7 * GROWN_CAPACITY, 6.0
+            deployments.medium(), lambda now: 0.7 * MEDIUM_CAPACITY, 6.0
         )
         self.assertGreater(result.on_time, 0.9 * result.total)
 
@@ -61,11 +61,11 @@
     def test_many_entries_serve_on_time_in_a_lasting_overload(self):
         """A standing queue in each engine made nearly all requests late."""
         result = self.simulate(
-            deployments.grown(), lambda now: 1.2 * GROWN_CAPACITY, 6.0
+            deployments.medium(), lambda now: 1.2 * MEDIUM_CAPACITY, 6.0
         )
-        self.assertGreater(result.on_time / 4.0, 0.65 * GROWN_CAPACITY)
+        self.assertGreater(result.on_time / 4.0, 0.65 * MEDIUM_CAPACITY)
 
-    def test_a_swing_between_long_prompts_and_long_answers(self):
+    def test_load_alternates_between_long_prompts_and_long_answers(self):
         """The load alternates every two seconds, above the capacity."""
 
         def shapes(now):
@@ -81,7 +81,7 @@
         )
         self.assertGreater(result.on_time / 8.0, 0.6 * SMALL_CAPACITY)
 
-    def test_the_late_are_served_when_a_burst_is_over(self):
+    def test_overdue_requests_are_served_after_a_burst(self):
         """After a burst of a second, most overdue requests get served."""
 
         def rate(now):
--- a/packages/burdockchute-testing/tests/test_failures.py
+++ b/packages/burdockchute-testing/tests/test_failures.py
@@ -58,8 +58,8 @@
     def assert_sound(self) -> None:
         self.assertEqual([], self.site.findings())
 
-    def assert_all_answered(self, made: list[Call]) -> None:
-        others = [call for call in made if call.outcome != calls.ANSWERED]
+    def assert_all_answered(self, completed: list[Call]) -> None:
+        others = [call for call in completed if call.outcome != calls.ANSWERED]
         self.assertEqual([], others)
 
 
@@ -71,16 +71,20 @@
         running = self.traffic('dies')
         gevent.sleep(FAULT_AFTER_S)
         site.kill('m1')
-        made = join_all(running)
+        completed = join_all(running)
         self.assert_sound()
-        interrupted = [call for call in made if call.outcome == calls.UNKNOWN]
+        interrupted = [
+            call for call in completed if call.outcome == calls.UNKNOWN
+        ]
         self.assertEqual(
             [],
             [call for call in interrupted if not call.spec.stream],
             interrupted,
         )
-        answered = [call for call in made if call.outcome == calls.ANSWERED]
-        self.assertEqual(len(made), len(answered) + len(interrupted))
+        answered = [
+            call for call in completed if call.outcome == calls.ANSWERED
+        ]
+        self.assertEqual(len(completed), len(answered) + len(interrupted))
 
     def test_engine_hangs_under_traffic(self):
         # An engine hangs in the middle of its requests. They must not wait
@@ -106,11 +110,11 @@
         poison = calls.completion('poison', 'story', 'POISON')
         sent = [site.send('e1', poison) for _ in range(4)]
         self.assertNotIn(calls.ANSWERED, {call.outcome for call in sent})
-        made = join_all(running)
+        completed = join_all(running)
         self.assert_sound()
         dead = [m for m in site.engines if site.system[m].status is not None]
         self.assertLessEqual(len(dead), 2, dead)
-        plain = [call for call in made if not call.spec.stream]
+        plain = [call for call in completed if not call.spec.stream]
         self.assert_all_answered(plain)
 
 
@@ -146,9 +150,9 @@
         running = self.traffic('leaves', count=80)
         gevent.sleep(FAULT_AFTER_S)
         site.stop_agent('m1')
-        made = join_all(running)
+        completed = join_all(running)
         self.assertEqual(0, site.system['am1'].wait())
-        self.assert_all_answered(made)
+        self.assert_all_answered(completed)
         self.assert_sound()
 
 
@@ -160,9 +164,9 @@
         running = self.traffic('entry-dies')
         gevent.sleep(FAULT_AFTER_S)
         site.kill('e1')
-        made = join_all(running)
+        completed = join_all(running)
         self.assert_sound()
-        self.assert_all_answered([c for c in made if c.entry == 'e2'])
+        self.assert_all_answered([c for c in completed if c.entry == 'e2'])
 
     def test_entry_leaves_under_traffic(self):
         # An entry is replaced: requests that it has accepted get a complete
@@ -174,11 +178,12 @@
         ]
         harness.wait_until(lambda: len(site.system.runs()) > 5, 'runs begin')
         site.system['e1'].terminate()
-        made = join_all(running)
+        completed = join_all(running)
         self.assertEqual(0, site.system['e1'].wait())
         self.assert_sound()
         self.assertLessEqual(
-            {call.outcome for call in made}, {calls.ANSWERED, calls.NOT_RUN}
+            {call.outcome for call in completed},
+            {calls.ANSWERED, calls.NOT_RUN},
         )
 
 
@@ -236,9 +241,9 @@
         running = self.traffic('silent')
         gevent.sleep(FAULT_AFTER_S)
         self.assertGreaterEqual(site.relays['m1'].silence(), 2)
-        made = join_all(running)
+        completed = join_all(running)
         self.assert_sound()
-        plain = [call for call in made if not call.spec.stream]
+        plain = [call for call in completed if not call.spec.stream]
         self.assert_all_answered(plain)
         later = join_all(self.traffic('after-silence', count=20))
         self.assert_all_answered(later)
@@ -253,9 +258,11 @@
         gevent.sleep(FAULT_AFTER_S)
         site.kill('m2')
         site.kill('e2')
-        made = join_all(running)
+        completed = join_all(running)
         self.assert_sound()
-        others = [c for c in made if c.entry == 'e1' and not c.spec.stream]
+        others = [
+            c for c in completed if c.entry == 'e1' and not c.spec.stream
+        ]
         self.assert_all_answered(others)
 
     def test_agent_leaves_while_another_dies(self):
@@ -297,8 +304,8 @@
         running = self.traffic('outage')
         gevent.sleep(FAULT_AFTER_S)
         site.kill('m1')
-        made = join_all(running)
-        plain = [call for call in made if not call.spec.stream]
+        completed = join_all(running)
+        plain = [call for call in completed if not call.spec.stream]
         self.assert_all_answered(plain)
         self.assert_sound()
 
@@ -311,9 +318,9 @@
         running = self.traffic('switch', count=80)
         gevent.sleep(0.5)
         site.set_model(2)
-        made = join_all(running)
+        completed = join_all(running)
         site.wait_open()
-        self.assert_all_answered(made)
+        self.assert_all_answered(completed)
         last = site.send_until_run('e1', calls.completion('after', 'story'))
         self.assertEqual(site.digests['story'], last.digest)
         self.assert_sound()
--- a/packages/burdockchute-testing/tests/test_harness.py
+++ b/packages/burdockchute-testing/tests/test_harness.py
@@ -41,7 +41,7 @@
             (run['request_id'], run['how'], run['upstream']),
         )
 
-    def test_process_that_is_started_again_tells_its_new_port(self):
+    def test_restarted_process_reports_its_new_port(self):
         with harness.System() as system:
             first = system.add_service('s1', 'proofs')
             system['s1'].kill()
--- a/packages/burdockchute-testing/tests/test_history.py
+++ b/packages/burdockchute-testing/tests/test_history.py
@@ -82,7 +82,7 @@
             ('c1@e1', 'd1 was never in the table'),
         )
 
-    def test_answer_that_nobody_made(self):
+    def test_answer_without_a_run(self):
         self.assert_found(
             History((answered(),), ()),
             ('c1@e1', 'answered, but no upstream finished it'),
--- a/packages/burdockchute-testing/tests/test_once.py
+++ b/packages/burdockchute-testing/tests/test_once.py
@@ -75,10 +75,12 @@
         # A caller sends the same request from two browsers at once.
         site = self.start()
         specs = self.dispatches('twice', 20)
-        made = site.send_all((e, spec) for spec in specs for e in ENTRIES)
+        completed = site.send_all((e, spec) for spec in specs for e in ENTRIES)
         self.assert_sound()
         answered = {
-            call.spec.marker for call in made if call.outcome == calls.ANSWERED
+            call.spec.marker
+            for call in completed
+            if call.outcome == calls.ANSWERED
         }
         self.assertEqual({spec.marker for spec in specs}, answered)
 
@@ -124,8 +126,10 @@
         plain = site.send('e1', calls.completion('plain', 'story'))
         self.assertEqual(calls.ANSWERED, plain.outcome, plain.error)
         site.system.set_faults('log')
-        made = join_all([self.spawn_sender(random.Random(1), spec)])
-        self.assertEqual([calls.ANSWERED], [call.outcome for call in made])
+        completed = join_all([self.spawn_sender(random.Random(1), spec)])
+        self.assertEqual(
+            [calls.ANSWERED], [call.outcome for call in completed]
+        )
         self.assert_sound()
 
     def test_lost_replies_of_the_log(self):
@@ -135,14 +139,14 @@
         site = self.start()
         site.system.set_faults('log', lose_replies=0.3, seed=5)
         rng = random.Random(5)
-        made = join_all(
+        completed = join_all(
             [
                 self.spawn_sender(rng, spec)
                 for spec in self.dispatches('lost', 20)
             ]
         )
         self.assert_sound()
-        outcomes = collections.Counter(call.outcome for call in made)
+        outcomes = collections.Counter(call.outcome for call in completed)
         self.assertEqual({calls.ANSWERED: 20}, dict(outcomes))
 
 
--- a/packages/burdockchute-testing/tests/test_system.py
+++ b/packages/burdockchute-testing/tests/test_system.py
@@ -33,8 +33,8 @@
             )
             for number in range(24)
         ]
-        made = self.site.send_all(specs)
-        self.assertEqual(['answered'] * 24, [call.outcome for call in made])
+        sent = self.site.send_all(specs)
+        self.assertEqual(['answered'] * 24, [call.outcome for call in sent])
 
     def test_adapter_names_both_digests(self):
         system = self.site.system
@@ -52,7 +52,7 @@
             (call.digest, call.adapter_digest),
         )
 
-    def test_bad_requests_are_told_where(self):
+    def test_bad_request_is_answered_with_the_place(self):
         url = self.site.system.url('e1', 'http_port') + '/v1/completions'
         body = {'model': 'story', 'prompt': 'hello'}
         key = {'Authorization': 'Bearer key-of-lindwurm'}
@@ -71,7 +71,7 @@
                     'not-run', got.headers['burdockchute-outcome']
                 )
 
-    def test_caller_that_goes_away_frees_its_slot(self):
+    def test_disconnected_caller_frees_its_slot(self):
         # A caller closes its page during a long answer. Otherwise the engine
         # would generate the remainder for no caller.
         spec = calls.completion('gone', 'story', max_tokens=900, stream=True)
@@ -87,7 +87,7 @@
             lambda: self.run_states('gone') == ['cancelled'], 'it is cancelled'
         )
 
-    def test_flooding_customer_is_told_when_to_come_back(self):
+    def test_flooding_customer_gets_a_retry_time(self):
         # One customer's script sends as fast as it can. Requests over its
         # rate limit are refused at once instead of delayed.
         system = self.site.system
@@ -99,13 +99,13 @@
             lambda: calls.send(url, 'key-of-sahyog', spec).status != 401,
             'the row is in force',
         )
-        made = [
+        sent = [
             calls.send(
                 url, 'key-of-sahyog', calls.completion(f'f{n}', 'story')
             )
             for n in range(40)
         ]
-        refused = [call for call in made if call.status == 429]
+        refused = [call for call in sent if call.status == 429]
         self.assertGreater(len(refused), 0)
         results = {(c.outcome, c.retry_after != '') for c in refused}
         self.assertEqual({('not-run', True)}, results)
--- a/packages/burdockchute-testing/tests/test_upstream_standins.py
+++ b/packages/burdockchute-testing/tests/test_upstream_standins.py
@@ -169,7 +169,7 @@
         order = [request_id for _end, request_id in sorted(ends)]
         self.assertEqual(['r1', 'p2', 'p1', 'p0'], order)
 
-    def test_cached_prefix_is_told(self):
+    def test_cached_prefix_is_reported(self):
         self.start(cache_blocks=2)
         self.load('story', 1)
         long = ' '.join(f'w{n}' for n in range(200))
@@ -259,7 +259,7 @@
                 seen.append(event)
         self.assertEqual(2, len(seen))
 
-    def test_wrong_digest_is_told_and_made(self):
+    def test_wrong_digest_is_reported_and_used(self):
         self.start()
         digest = self.load('story', 1)
         self.set_faults(wrong_digest=1.0)
