--- a/packages/burdockchute/burdockchute/feed_follower.py
+++ b/packages/burdockchute/burdockchute/feed_follower.py
@@ -77,7 +77,7 @@
     requests. `contact_s` is the time after a disturbance at which a process
     has to be up to date again.
 
-    >>> longest_wait_s(3.0), longest_wait_s(1.0)
+    >>> max_open_read_s(3.0), max_open_read_s(1.0)
     (2.0, 0.5)
     """
     return max(contact_s - SILENCE_DETECTION_S, MIN_WAIT_S)
